--- /dev/null
+++ b/include/quota_gateway/events.hpp
@@ -0,0 +1,163 @@
+// What the decision engine is told. Plain data only.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <string>
+#include <utility>
+#include <variant>
+#include <vector>
+
+#include "quota_gateway/time.hpp"
+
+namespace quota_gateway {
+
+enum class EndpointState { kUp, kDraining, kRemoved };
+
+// One endpoint (a booking server) in the endpoint list.
+struct EndpointEntry {
+  std::string endpoint;
+  std::string zone;
+  std::string hardware;
+  std::int64_t cell = 0;
+  EndpointState state = EndpointState::kUp;
+  double weight = 1;
+  TimePoint started_at = 0;  // by the wall clock; 0: long ago
+};
+
+// What an endpoint reported of its load; below 0: not reported.
+struct LoadReport {
+  double in_flight = -1;
+  double queued = -1;
+  double cpu = -1;
+  double service_ms = -1;
+  double served_per_s = -1;
+  double errors_per_s = -1;
+};
+
+// How an attempt ended.
+enum class Outcome {
+  kOk,
+  kError,          // may have executed
+  kOverloaded,     // never executed
+  kTimeout,        // may have executed, may be executing
+  kConnectFailed,  // never executed
+  kReset,          // may have executed
+  kCancelled,      // may have executed
+  kNotSent         // never executed
+};
+
+// A new endpoint list, or changes to the last one.
+struct EndpointListUpdate {
+  enum class Kind { kPartial, kComplete, kPersisted, kError } kind = Kind::kComplete;
+  std::vector<EndpointEntry> entries;
+};
+
+// An operator disabled an endpoint or enabled it again; may be repeated. Binds whatever the list says.
+struct AdminStateChanged {
+  std::string endpoint;
+  bool disabled = false;
+};
+
+struct RequestArrived {
+  std::string id;
+  std::string customer;
+  std::string plan;
+  std::string request_class;
+  double units = 1;
+  TimePoint deadline = 0;       // when the client gives this request up
+  int gateway_set_size = 1;     // gateways through which this customer may come
+  int first_gateway_index = 0;  // of that set; the others follow, counted round
+  bool client_retry = false;
+  bool body_pending = false;  // its body is still to come, and `deadline` with it
+};
+
+// All of a request whose body was pending has arrived.
+struct RequestBodyCompleted {
+  std::string id;
+  TimePoint deadline = 0;
+};
+
+// A response is being forwarded to the client; no other can follow. The attempt's end comes later.
+struct ResponseStarted {
+  std::string id;
+  int attempt = 0;
+  std::string endpoint;
+  Duration duration = 0;
+  double billed_units = 0;  // as of AttemptEnded
+  LoadReport load;
+};
+
+struct AttemptEnded {
+  std::string id;
+  int attempt = 0;
+  std::string endpoint;
+  Outcome outcome = Outcome::kOk;
+  Duration duration = 0;
+  bool request_finished = false;  // the client has its final response
+  int quota_meter = 0;            // 1 + percent of its quota that the customer used; 0: not reported
+  double billed_units = 0;        // true units, where units are settled later
+  LoadReport load;
+  bool replayable = true;  // else its body has been forwarded and is no longer buffered
+};
+
+// The client has disconnected or given up.
+struct RequestCancelled {
+  std::string id;
+};
+
+struct TimerFired {
+  std::int64_t token = 0;
+};
+
+struct ProbeEnded {
+  std::string endpoint;
+  Outcome outcome = Outcome::kOk;
+  Duration duration = 0;
+  LoadReport load;
+};
+
+enum class CounterOutcome { kOk, kNotAdded, kUnknown };
+
+// The reply to an IncrementCounter, or its failure.
+struct CounterReply {
+  std::int64_t name = 0;
+  double total = 0;
+  CounterOutcome outcome = CounterOutcome::kUnknown;
+  Duration duration = 0;
+};
+
+// The wall clock, by which endpoints report their starts and gateways name their counters, is `offset` ahead
+// of the clock by which events are reported. Until this comes the two are the same.
+struct WallClockStepped {
+  Duration offset = 0;
+};
+
+// What a process passes to the one that replaces it. The values stand in a fixed order; a list of another
+// length was written by another build and is ignored.
+struct HotRestartState {
+  using Values = std::vector<double>;
+  std::map<std::string, std::pair<std::string, Values>> customers;  // with the name of their plan
+  std::map<std::string, Values> endpoints;
+  Values fleet;
+};
+
+// This process replaces another one, and continues from its state.
+struct StateRestored {
+  HotRestartState state;
+};
+
+// Attempts of each customer that the process before this one still has in flight.
+struct PredecessorAttempts {
+  std::map<std::string, int> in_flight;
+};
+
+// The process that was to replace this one has ended.
+struct HotRestartAborted {};
+
+using Event =
+    std::variant<EndpointListUpdate, RequestArrived, ResponseStarted, AttemptEnded, RequestCancelled,
+                 TimerFired, ProbeEnded, CounterReply, AdminStateChanged, RequestBodyCompleted, StateRestored,
+                 PredecessorAttempts, HotRestartAborted, WallClockStepped>;
+
+}  // namespace quota_gateway
--- /dev/null
+++ b/include/quota_gateway/settings.hpp
@@ -0,0 +1,74 @@
+// What a gateway is configured with: request classes, service plans and the limits that it must keep.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "quota_gateway/time.hpp"
+
+namespace quota_gateway {
+
+// May a request be executed twice? kByKey: only where endpoints share its idempotency key (see DedupScope).
+enum class Idempotency { kIdempotent, kByKey, kNonIdempotent };
+
+// Which endpoints recognise the same idempotency key.
+enum class DedupScope { kAll, kZone, kCell };
+
+// One class of requests.
+struct ClassSettings {
+  std::string name;
+  Duration latency_objective = 1'000'000;  // a response within it earns the full weight
+  Duration client_timeout = 4'000'000;     // how long a client waits, over all attempts
+  double priority_weight = 1;
+  double late_weight = 0;  // part of the weight earned after the objective but before the deadline
+  Idempotency idempotency = Idempotency::kNonIdempotent;
+  DedupScope dedup_scope = DedupScope::kCell;
+  Duration dedup_window = 0;  // how long duplicates with the same idempotency key are recognised
+  bool streamed = false;
+};
+
+// One service plan. Limits hold for each of its customers over all gateways together; 0 means no such limit.
+struct PlanSettings {
+  std::string name;
+  double rate = 0;  // units a second
+  double burst = 0;
+  int max_concurrent_attempts = 0;
+  double hard_limit_rate = 0;  // units a second that may be forwarded, inside the quota or not
+  double hard_limit_burst = 0;
+  double hard_limit_slack = 0;
+  double priority_factor = 1;
+  double excess_weight = 0;  // part of its weight that a request forwarded beyond the quota earns
+  double excess_cost = 1;    // part of its weight that it costs
+};
+
+// The configuration of one gateway.
+struct Settings {
+  std::string zone;
+  std::vector<ClassSettings> classes;
+  std::vector<PlanSettings> plans;
+  int gateway_count = 1;
+  int gateway_index = 0;  // of this gateway, from 0
+  Duration tick = 1'000;
+  bool has_counter = false;
+  Duration counter_timeout = 50'000;
+  Duration metering_period = 0;  // 0: no metering
+  double max_request_units = 1;
+  bool settles_units_later = false;  // units are an estimate until the first successful response
+  int max_attempts = 1;
+  Duration connect_timeout = 0;
+  bool allow_probes = false;
+  bool allow_cancel = false;
+  bool allow_hedging = false;  // two attempts of a request may be in flight together
+  bool allow_retry_after = false;
+  Duration max_retry_after = 0;
+  bool subscribe_to_endpoints = false;  // the endpoint list must be subscribed to
+  Duration subscribe_within = 10'000'000;
+  Duration response_grace = 0;
+  Duration drain_grace = 0;
+  double slow_start_min_capacity = 1;  // of a fresh endpoint, as a part of its full capacity
+  Duration slow_start_duration = 0;
+  double slow_start_overload_factor = 1;  // times the present capacity
+  Duration slow_start_window = 0;         // more than that factor for this long overloads a fresh endpoint
+};
+
+}  // namespace quota_gateway
--- /dev/null
+++ b/include/quota_gateway/time.hpp
@@ -0,0 +1,16 @@
+// Time in microseconds. Instants count on one clock that is never stepped.
+#pragma once
+
+#include <cstdint>
+
+namespace quota_gateway {
+
+// An instant: microseconds on the clock by which events are reported.
+using TimePoint = std::int64_t;
+
+// A span: microseconds.
+using Duration = std::int64_t;
+
+using Micros = std::int64_t;  // TEMPORARY: being replaced by TimePoint and Duration
+
+}  // namespace quota_gateway
--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -1,9 +1,9 @@
-#include "codec.hpp"
+#include "adapter/codec.hpp"
 
 #include <initializer_list>
 #include <utility>
 
-namespace cottonroad::wire {
+namespace quota_gateway::wire {
 namespace {
 
 template <typename T>
@@ -16,7 +16,7 @@
 template <typename T>
 T need(const Json& object, const char* key) {
   auto it = object.find(key);
-  if (it == object.end() || it->is_null()) throw WireError(std::string("missing field ") + key);
+  if (it == object.end() || it->is_null()) throw ProtocolError(std::string("missing field ") + key);
   return it->get<T>();
 }
 
@@ -35,18 +35,18 @@
 
 Outcome parse_outcome(const std::string& text) {
   static const std::map<std::string, Outcome> words = {
-      {"GOOD", Outcome::kOk},      {"BAD", Outcome::kError},    {"FULL", Outcome::kFull},
+      {"GOOD", Outcome::kOk},      {"BAD", Outcome::kError},    {"FULL", Outcome::kOverloaded},
       {"LATE", Outcome::kTimeout}, {"RST", Outcome::kReset},    {"NOCONN", Outcome::kConnectFailed},
       {"NOP", Outcome::kNotSent},  {"CXL", Outcome::kCancelled}};
   auto it = words.find(text);
-  if (it == words.end()) throw WireError("unknown outcome " + text);
+  if (it == words.end()) throw ProtocolError("unknown outcome " + text);
   return it->second;
 }
 
 LoadReport parse_load(const Json& message) {
   LoadReport load;
   const Json& values = section(message, "Feedback");
-  if (!values.is_object()) throw WireError("Feedback is no object");
+  if (!values.is_object()) throw ProtocolError("Feedback is no object");
   load.in_flight = get(values, "active", -1.0);
   load.queued = get(values, "waiting", -1.0);
   load.cpu = get(values, "cpu", -1.0);
@@ -59,12 +59,13 @@
 ClassSettings parse_class(const Json& c) {
   ClassSettings out;
   out.name = get<std::string>(c, "Name", "");
-  out.aim = get<Micros>(c, "ObjectiveUs", out.aim);
-  out.deadline = get<Micros>(c, "GiveUpUs", out.deadline);
-  out.worth = get(c, "Importance", out.worth);
-  out.late_worth = get(c, "LateValue", out.late_worth);
-  out.repeat = word<Repeat>(get<std::string>(c, "Repeat", ""),
-                            {{"safe", Repeat::kSafe}, {"keyed", Repeat::kKeyed}}, Repeat::kUnsafe);
+  out.latency_objective = get<Micros>(c, "ObjectiveUs", out.latency_objective);
+  out.client_timeout = get<Micros>(c, "GiveUpUs", out.client_timeout);
+  out.priority_weight = get(c, "Importance", out.priority_weight);
+  out.late_weight = get(c, "LateValue", out.late_weight);
+  out.idempotency = word<Idempotency>(get<std::string>(c, "Repeat", ""),
+                                      {{"safe", Idempotency::kIdempotent}, {"keyed", Idempotency::kByKey}},
+                                      Idempotency::kNonIdempotent);
   out.dedup_scope =
       word<DedupScope>(get<std::string>(c, "DedupScope", ""),
                        {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}}, DedupScope::kCell);
@@ -78,87 +79,87 @@
   out.name = get<std::string>(p, "Name", "");
   out.rate = get(p, "QuotaRate", 0.0);
   out.burst = get(p, "Depth", 0.0);
-  out.max_open = get(p, "MaxOut", 0);
-  out.ceiling_rate = get(p, "NeverOverRate", 0.0);
-  out.ceiling_burst = get(p, "HardBurst", 0.0);
-  out.ceiling_slack = get(p, "CapSlack", 0.0);
-  out.price = get(p, "ValueFactor", 1.0);
-  out.over_worth = get(p, "ExcessWorth", 0.0);
-  out.over_cost = get(p, "OverrunCost", 0.0);
+  out.max_concurrent_attempts = get(p, "MaxOut", 0);
+  out.hard_limit_rate = get(p, "NeverOverRate", 0.0);
+  out.hard_limit_burst = get(p, "HardBurst", 0.0);
+  out.hard_limit_slack = get(p, "CapSlack", 0.0);
+  out.priority_factor = get(p, "ValueFactor", 1.0);
+  out.excess_weight = get(p, "ExcessWorth", 0.0);
+  out.excess_cost = get(p, "OverrunCost", 0.0);
   return out;
 }
 
 struct Writer {
   Json operator()(const SendAttempt& a) const {
-    return {{"what", "Send"}, {"Id", a.id}, {"Server", a.server}, {"TryForUs", a.timeout}};
+    return {{"what", "Send"}, {"Id", a.id}, {"Server", a.endpoint}, {"TryForUs", a.timeout}};
   }
   Json operator()(const CancelAttempt& a) const {
     return {{"what", "Withdraw"}, {"Id", a.id}, {"Go", a.attempt}};
   }
-  Json operator()(const Refuse& a) const {
+  Json operator()(const RejectRequest& a) const {
     Json out = {{"what", "Reject"}, {"Id", a.id}};
     if (a.retry_after > 0) out["StayAwayUs"] = a.retry_after;
     return out;
   }
-  Json operator()(const Fail& a) const { return {{"what", "Fail"}, {"Id", a.id}}; }
+  Json operator()(const FailRequest& a) const { return {{"what", "Fail"}, {"Id", a.id}}; }
   Json operator()(const SetTimer& a) const { return {{"what", "Arm"}, {"AtUs", a.at}, {"Label", a.token}}; }
-  Json operator()(const SendProbe& a) const { return {{"what", "Inspect"}, {"Server", a.server}}; }
-  Json operator()(const AddToCounter& a) const {
-    return {{"what", "Tally"}, {"Cname", a.name}, {"Amount", a.amount}, {"ForgetAfterUs", a.forget_after}};
+  Json operator()(const SendProbe& a) const { return {{"what", "Inspect"}, {"Server", a.endpoint}}; }
+  Json operator()(const IncrementCounter& a) const {
+    return {{"what", "Tally"}, {"Cname", a.name}, {"Amount", a.amount}, {"ForgetAfterUs", a.ttl}};
   }
-  Json operator()(const SubscribeList&) const { return {{"what", "Subscribe"}, {"Enable", true}}; }
-  Json operator()(const LogLine& a) const { return {{"what", "NoteDown"}, {"BodyText", a.text}}; }
+  Json operator()(const SubscribeEndpoints&) const { return {{"what", "Subscribe"}, {"Enable", true}}; }
+  Json operator()(const LogMessage& a) const { return {{"what", "NoteDown"}, {"BodyText", a.text}}; }
 };
 
 }  // namespace
 
 Settings parse_settings(const Json& info) {
-  if (!info.is_object()) throw WireError("Info is no object");
+  if (!info.is_object()) throw ProtocolError("Info is no object");
   Settings s;
   s.zone = get<std::string>(info, "Az", "");
   for (const Json& c : section(info, "Classes")) s.classes.push_back(parse_class(c));
   for (const Json& p : section(info, "TiersOfService")) s.plans.push_back(parse_plan(p));
-  s.gateways = get(info, "ReplicasOfMe", 1);
-  s.position = get(info, "Position", 0);
+  s.gateway_count = get(info, "ReplicasOfMe", 1);
+  s.gateway_index = get(info, "Position", 0);
   s.tick = get<Micros>(info, "TickUs", s.tick);
   const Json& extra = section(info, "Extra");
   s.has_counter = get(extra, "SharedCounter", false);
   s.counter_timeout = get<Micros>(extra, "CounterTimeoutUs", s.counter_timeout);
-  s.meter_period = get<Micros>(extra, "MeteringUs", 0);
-  s.largest_units = get(extra, "Largest", 1.0);
-  s.settles_later = get(extra, "CostAfter", false);
+  s.metering_period = get<Micros>(extra, "MeteringUs", 0);
+  s.max_request_units = get(extra, "Largest", 1.0);
+  s.settles_units_later = get(extra, "CostAfter", false);
   const Json& limits = section(info, "Limits");
   s.max_attempts = get(limits, "MaxAttempts", 1);
-  s.dial_timeout = get<Micros>(limits, "DialTimeoutUs", 0);
-  s.may_probe = get(limits, "Probes", false);
-  s.may_cancel = get(limits, "MayCancel", false);
-  s.may_duplicate = get(limits, "MayDuplicate", false);
-  s.may_advise = get(limits, "RetryAfter", false);
+  s.connect_timeout = get<Micros>(limits, "DialTimeoutUs", 0);
+  s.allow_probes = get(limits, "Probes", false);
+  s.allow_cancel = get(limits, "MayCancel", false);
+  s.allow_hedging = get(limits, "MayDuplicate", false);
+  s.allow_retry_after = get(limits, "RetryAfter", false);
   s.max_retry_after = get<Micros>(limits, "MaxRetryAfterUs", 0);
-  s.list_on_request = get<std::string>(info, "MembershipMode", "pushed") == "on_request";
+  s.subscribe_to_endpoints = get<std::string>(info, "MembershipMode", "pushed") == "on_request";
   const Json& rules = section(info, "Obligations");
-  s.list_ask_within = get<Micros>(rules, "AskWithinUs", s.list_ask_within);
-  s.answer_grace = get<Micros>(rules, "GraceToAnswerUs", 0);
+  s.subscribe_within = get<Micros>(rules, "AskWithinUs", s.subscribe_within);
+  s.response_grace = get<Micros>(rules, "GraceToAnswerUs", 0);
   s.drain_grace = get<Micros>(rules, "StopSendingWithinUs", 0);
-  s.cold_share = get(rules, "ColdShare", 1.0);
-  s.cold_time = get<Micros>(rules, "ColdUs", 0);
-  s.cold_multiple = get(rules, "TipMultiple", 1.0);
-  s.cold_window = get<Micros>(rules, "TipAfterUs", 0);
+  s.slow_start_min_capacity = get(rules, "ColdShare", 1.0);
+  s.slow_start_duration = get<Micros>(rules, "ColdUs", 0);
+  s.slow_start_overload_factor = get(rules, "TipMultiple", 1.0);
+  s.slow_start_window = get<Micros>(rules, "TipAfterUs", 0);
   return s;
 }
 
-std::vector<ServerEntry> parse_entries(const Json& entries) {
-  if (!entries.is_array()) throw WireError("Entries is no list");
-  std::vector<ServerEntry> out;
+std::vector<EndpointEntry> parse_entries(const Json& entries) {
+  if (!entries.is_array()) throw ProtocolError("Entries is no list");
+  std::vector<EndpointEntry> out;
   for (const Json& e : entries) {
-    ServerEntry entry;
-    entry.server = need<std::string>(e, "Server");
+    EndpointEntry entry;
+    entry.endpoint = need<std::string>(e, "Server");
     entry.zone = get<std::string>(e, "RackZone", "");
-    entry.kind = get<std::string>(e, "GenerationHw", "");
+    entry.hardware = get<std::string>(e, "GenerationHw", "");
     entry.cell = get<std::int64_t>(e, "Cohort", 0);
-    entry.state = word<ServerState>(
+    entry.state = word<EndpointState>(
         get<std::string>(e, "Mode", "up"),
-        {{"draining", ServerState::kDraining}, {"removed", ServerState::kRemoved}}, ServerState::kUp);
+        {{"draining", EndpointState::kDraining}, {"removed", EndpointState::kRemoved}}, EndpointState::kUp);
     entry.weight = get(e, "Heft", 1.0);
     entry.started_at = get<Micros>(e, "ReadyAtUs", 0);
     out.push_back(std::move(entry));
@@ -176,8 +177,8 @@
     e.request_class = get<std::string>(m, "Service", "");
     e.units = get(m, "CostUnits", 1.0);
     e.deadline = need<Micros>(m, "GiveUpAtUs");
-    e.set_size = get(m, "SetSize", 0);
-    e.first_gateway = get(m, "FromNo", 0);
+    e.gateway_set_size = get(m, "SetSize", 0);
+    e.first_gateway_index = get(m, "FromNo", 0);
     e.client_retry = get(m, "AgainByClient", false);
     return e;
   }
@@ -185,61 +186,64 @@
     AttemptEnded e;
     e.id = need<std::string>(m, "Id");
     e.attempt = need<int>(m, "Go");
-    e.server = get<std::string>(m, "Server", "");
+    e.endpoint = get<std::string>(m, "Server", "");
     e.outcome = parse_outcome(need<std::string>(m, "Disposition"));
     e.duration = get<Micros>(m, "DurationUs", 0);
-    e.finished = get(m, "Over", false);
-    e.meter = get(m, "Usage", 0);
-    e.billed = get(m, "Billed", 0.0);
+    e.request_finished = get(m, "Over", false);
+    e.quota_meter = get(m, "Usage", 0);
+    e.billed_units = get(m, "Billed", 0.0);
     e.load = parse_load(m);
     return e;
   }
   if (what == "Alarm") return TimerFired{need<std::int64_t>(m, "Label")};
-  if (what == "TimedOutClient") return ClientGone{need<std::string>(m, "Id")};
+  if (what == "TimedOutClient") return RequestCancelled{need<std::string>(m, "Id")};
   if (what == "CounterReply") {
-    CounterAnswered e;
+    CounterReply e;
     e.name = need<std::int64_t>(m, "Cname");
     e.total = get(m, "Total", 0.0);
     e.duration = get<Micros>(m, "DurationUs", 0);
-    e.outcome = word<CountOutcome>(
-        need<std::string>(m, "Disposition"),
-        {{"GOOD", CountOutcome::kOk}, {"FULL", CountOutcome::kNotAdded}, {"NOCONN", CountOutcome::kNotAdded}},
-        CountOutcome::kUnknown);
+    e.outcome = word<CounterOutcome>(need<std::string>(m, "Disposition"),
+                                     {{"GOOD", CounterOutcome::kOk},
+                                      {"FULL", CounterOutcome::kNotAdded},
+                                      {"NOCONN", CounterOutcome::kNotAdded}},
+                                     CounterOutcome::kUnknown);
     return e;
   }
   if (what == "DirectoryUpdate") {
-    using Kind = ServerListUpdate::Kind;
-    ServerListUpdate e;
+    using Kind = EndpointListUpdate::Kind;
+    EndpointListUpdate e;
     e.kind = word<Kind>(
         need<std::string>(m, "Kind"),
         {{"Partial", Kind::kPartial}, {"Complete", Kind::kComplete}, {"Persisted", Kind::kPersisted}},
         Kind::kError);
     if (e.kind == Kind::kError) return e;
     auto pool = pools.find(need<std::int64_t>(m, "List"));
-    if (pool == pools.end()) throw WireError("list update names an unknown list");
+    if (pool == pools.end()) throw ProtocolError("list update names an unknown list");
     e.entries = pool->second;
     return e;
   }
   if (what == "Checked") {
     ProbeEnded e;
-    e.server = need<std::string>(m, "Server");
+    e.endpoint = need<std::string>(m, "Server");
     e.outcome = parse_outcome(need<std::string>(m, "Disposition"));
     e.duration = get<Micros>(m, "DurationUs", 0);
     e.load = parse_load(m);
     return e;
   }
   if (what == "Begun")
-    return StreamStarted{need<std::string>(m, "Id"), get(m, "Go", 0), get<std::string>(m, "Server", "")};
+    return ResponseStarted{need<std::string>(m, "Id"), get(m, "Go", 0), get<std::string>(m, "Server", "")};
   return std::nullopt;
 }
 
 Json write_action(const Action& action) { return std::visit(Writer{}, action); }
 
-void Host::take(const Json& m) { pools_[need<std::int64_t>(m, "List")] = parse_entries(m.at("Entries")); }
+void SimulatorHost::take(const Json& m) {
+  pools_[need<std::int64_t>(m, "List")] = parse_entries(m.at("Entries"));
+}
 
-std::optional<std::string> Host::answer(const std::string& line) {
+std::optional<std::string> SimulatorHost::answer(const std::string& line) {
   const Json batch = Json::parse(line);
-  if (!batch.is_object()) throw WireError("a line holds no object");
+  if (!batch.is_object()) throw ProtocolError("a line holds no object");
   if (get<std::string>(batch, "what", "") == "Pool") {
     take(batch);
     return std::nullopt;
@@ -247,7 +251,7 @@
   const Micros now = need<Micros>(batch, "ClockUs");
   Json reply = {{"parts", Json::array()}};
   const Json& parts = batch.at("parts");
-  if (!parts.is_array()) throw WireError("parts is no list");
+  if (!parts.is_array()) throw ProtocolError("parts is no list");
   for (const Json& part : parts) {
     const std::string who = need<std::string>(part, "Who");
     std::vector<Event> events;
@@ -258,9 +262,9 @@
       events.clear();
     };
     const Json& input = part.at("input");
-    if (!input.is_array()) throw WireError("input is no list");
+    if (!input.is_array()) throw ProtocolError("input is no list");
     for (const Json& m : input) {
-      if (!m.is_object()) throw WireError("an event is no object");
+      if (!m.is_object()) throw ProtocolError("an event is no object");
       const std::string what = need<std::string>(m, "what");
       if (what == "Pool") {
         take(m);
@@ -271,8 +275,8 @@
       } else if (what == "Enlist") {
         events.clear();
         actions.clear();
-        gateways_.insert_or_assign(who,
-                                   Gateway(parse_settings(m.at("Info")), need<std::uint64_t>(m, "Entropy")));
+        gateways_.insert_or_assign(
+            who, DecisionEngine(parse_settings(m.at("Info")), need<std::uint64_t>(m, "Entropy")));
       } else if (auto event = parse_event(m, pools_)) {
         events.push_back(std::move(*event));
       }
@@ -286,4 +290,4 @@
   return reply.dump();
 }
 
-}  // namespace cottonroad::wire
+}  // namespace quota_gateway::wire
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -3,18 +3,18 @@
 #include <iostream>
 #include <string>
 
-#include "codec.hpp"
+#include "adapter/codec.hpp"
 
 int main() {
   std::ios::sync_with_stdio(false);
-  cottonroad::wire::Host host;
+  quota_gateway::wire::SimulatorHost host;
   std::string line;
   try {
     while (std::getline(std::cin, line)) {
       if (auto reply = host.answer(line)) std::cout << *reply << '\n' << std::flush;
     }
   } catch (const std::exception& e) {
-    std::cerr << "cottonroad_adapter: " << e.what() << '\n';
+    std::cerr << "simulator_adapter: " << e.what() << '\n';
     return 1;
   }
   return 0;
--- a/src/net/admin.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "admin.hpp"
+#include "admin/admin_server.hpp"
 
 #include <algorithm>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -7,9 +7,9 @@
 #include <optional>
 #include <string_view>
 
-#include "system_errors.hpp"
+#include "network/system_errors.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 namespace {
 
 namespace asio = boost::asio;
@@ -21,17 +21,17 @@
 constexpr Micros kPatience = 3'000'000;    // us for a whole call and its answer
 constexpr Micros kRetry = 200'000;  // us until a taken address, or an accept without descriptors, again
 constexpr std::uint32_t kMostHeader = 4 << 10;
-constexpr std::uint64_t kMostBody = 4 << 10;
+constexpr std::uint64_t kMaxBodySize = 4 << 10;
 
 }  // namespace
 
-class Admin::Session : public std::enable_shared_from_this<Session> {
+class AdminServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(Admin& admin, tcp::socket socket) : admin_(admin), socket_(std::move(socket)) {}
+  Session(AdminServer& admin, tcp::socket socket) : admin_(admin), socket_(std::move(socket)) {}
 
   void start() {
     parser_.header_limit(kMostHeader);
-    parser_.body_limit(kMostBody);
+    parser_.body_limit(kMaxBodySize);
     http::async_read(socket_, buffer_, parser_, [self = shared_from_this()](error_code ec, std::size_t) {
       if (!self->socket_.is_open()) return;
       const bool malformed = ec.category() == http::make_error_code(http::error::bad_method).category();
@@ -51,14 +51,14 @@
     const std::string_view path = std::string_view(target.data(), target.size()).substr(0, target.find('?'));
     if (path == "/-/ready") {
       if (!allowed(http::verb::get)) return;
-      const bool ready = admin_.calls_.ready();
+      const bool ready = admin_.handlers_.is_ready();
       return answer(ready ? http::status::ok : http::status::service_unavailable,
                     ready ? "ready\n" : "not ready\n");
     }
     if (path == "/-/metrics") {
       if (!allowed(http::verb::get)) return;
       answer_.set(http::field::content_type, "application/json");
-      return answer(http::status::ok, admin_.calls_.metrics());
+      return answer(http::status::ok, admin_.handlers_.metrics_json());
     }
     constexpr std::string_view servers = "/-/booking-servers/";
     const auto slash = path.rfind('/');
@@ -68,17 +68,18 @@
       return answer(http::status::not_found, "no such call\n");
     if (!allowed(http::verb::post)) return;
     const std::string server(path.substr(servers.size(), slash - servers.size()));
-    admin_.calls_.disable(server, what == "disable",
-                          [self = shared_from_this()](SwitchResult result) { self->answer(result); });
+    admin_.handlers_.set_disabled(
+        server, what == "disable",
+        [self = shared_from_this()](DisableResult result) { self->answer(result); });
   }
 
-  void answer(SwitchResult result) {
+  void answer(DisableResult result) {
     switch (result) {
-      case SwitchResult::kDone:
+      case DisableResult::kDone:
         return answer(http::status::ok, "ok\n");
-      case SwitchResult::kUnknownServer:
+      case DisableResult::kUnknownEndpoint:
         return answer(http::status::not_found, "no such booking server\n");
-      case SwitchResult::kNotKept:
+      case DisableResult::kNotStored:
         return answer(http::status::service_unavailable, "not kept, call again\n");
     }
   }
@@ -103,18 +104,18 @@
     });
   }
 
-  Admin& admin_;
+  AdminServer& admin_;
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
   http::request_parser<http::string_body> parser_;
   http::response<http::string_body> answer_;
 };
 
-Admin::Admin(asio::io_context& io, Timers& timers, AdminCalls calls)
-    : timers_(timers), calls_(std::move(calls)), acceptor_(io) {}
-Admin::~Admin() = default;
+AdminServer::AdminServer(asio::io_context& io, Timers& timers, AdminHandlers handlers)
+    : timers_(timers), handlers_(std::move(handlers)), acceptor_(io) {}
+AdminServer::~AdminServer() = default;
 
-void Admin::listen(const tcp::endpoint& at) {
+void AdminServer::listen(const tcp::endpoint& at) {
   error_code ec, ignored;
   acceptor_.open(at.protocol(), ec);
   if (!ec) acceptor_.set_option(tcp::acceptor::reuse_address(true), ec);
@@ -124,16 +125,16 @@
   if (!ec) return accept();
   std::cerr << "admin: " << ec.message() << '\n';
   acceptor_.close(ignored);
-  timers_.after(kRetry, [this, at] { listen(at); });
+  timers_.schedule_after(kRetry, [this, at] { listen(at); });
 }
 
-void Admin::accept() {
+void AdminServer::accept() {
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
     if (ec && classify_accept(ec) == AcceptFailure::kConnectionLost) return accept();
-    if (ec) return timers_.after(kRetry, [this] { accept(); });
+    if (ec) return timers_.schedule_after(kRetry, [this] { accept(); });
     if (sessions_.size() >= kMostSessions) std::shared_ptr<Session>(sessions_.front())->close();
     const auto& session = sessions_.emplace_back(std::make_shared<Session>(*this, std::move(socket)));
-    timers_.after(kPatience, [weak = std::weak_ptr<Session>(session)] {
+    timers_.schedule_after(kPatience, [weak = std::weak_ptr<Session>(session)] {
       if (const auto late = weak.lock()) late->close();
     });
     session->start();
@@ -141,4 +142,4 @@
   });
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/frontend.cpp
+++ b/src/client/client_listener.cpp
@@ -1,4 +1,4 @@
-#include "frontend.hpp"
+#include "client/client_listener.hpp"
 
 #include <linux/sockios.h>
 #include <netinet/in.h>
@@ -19,11 +19,11 @@
 #include <optional>
 #include <string_view>
 
-#include "client_request.hpp"
-#include "stream_io.hpp"
-#include "system_errors.hpp"
+#include "client/client_request.hpp"
+#include "network/stream_io.hpp"
+#include "network/system_errors.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 namespace {
 
 namespace asio = boost::asio;
@@ -68,10 +68,10 @@
 }  // namespace
 
 // One client connection. It reads ahead while a request is held, to notice that the client has gone.
-class Frontend::Session : public std::enable_shared_from_this<Session> {
+class ClientListener::Session : public std::enable_shared_from_this<Session> {
  public:
   enum class State { kBetween, kReading, kHeld, kWriting, kClosing, kClosed };
-  Session(Frontend& front, std::uint64_t client, tcp::socket socket)
+  Session(ClientListener& front, std::uint64_t client, tcp::socket socket)
       : front_(front), client_(client), socket_(std::move(socket)), share_(front.budget_) {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
@@ -107,7 +107,7 @@
     });
   }
 
-  void answer(const Answer& a) {
+  void answer(const Response& a) {
     if (state_ != State::kHeld) return;
     request_ = 0;
     write(a, closes());
@@ -174,7 +174,7 @@
     error_code ec;
     return unacknowledged() || (state_ != State::kClosing && socket_.available(ec) > 0);
   }
-  std::pair<bool, Micros> worth() const {
+  std::pair<bool, Micros> eviction_rank() const {
     return {state_ == State::kReading || (served_ && state_ != State::kClosing), touched_};
   }
 
@@ -197,7 +197,7 @@
     error_code ignored;
     socket_.close(ignored);
     drop_upload();
-    if (was == State::kHeld || passing_) front_.calls_.gone(request_);
+    if (was == State::kHeld || passing_) front_.callbacks_.on_client_disconnected(request_);
     front_.erase(client_);
   }
   State state() const { return state_; }
@@ -243,13 +243,13 @@
   void look_behind() {
     behind_ = true;
     if (std::exchange(looking_, true)) return;
-    front_.timers_.after(kLookBehind, [this, self = shared_from_this()] {
+    front_.timers_.schedule_after(kLookBehind, [this, self = shared_from_this()] {
       looking_ = false;
       if (state_ != State::kHeld || !upload_full()) return read();
       pollfd left{socket_.native_handle(), POLLRDHUP, 0};
       if (::poll(&left, 1, 0) > 0) return close();
       look_for_rest();
-      front_.calls_.behind(request_, missing_);
+      front_.callbacks_.on_body_lagging(request_, missing_);
       read();
     });
   }
@@ -261,14 +261,14 @@
     else if (*rest > socket_.available(ec) + kClientBuffer)
       missing_ = front_.clock_.now();
   }
-  void took(std::size_t size, Micros came_at) {
+  void took(std::size_t size, Micros received_at) {
     if (discards_ || state_ == State::kClosing) {
       discarded_ += size;
       return;
     }
     pending_.append(front_.chunk_.data(), size);
     bytes_read_ += size;
-    arrivals_.push_back({bytes_read_, came_at});
+    arrivals_.push_back({bytes_read_, received_at});
     // Danger: unread, it would hide that the client leaves. One that sends so much ahead is none of ours, and
     // has the answer to the request that is held, no more.
     if (state_ == State::kHeld && !upload_ && pending_.size() > kMostAhead) {
@@ -282,7 +282,7 @@
     since_ = progress_ = front_.clock_.now();
   }
   bool closes() const { return front_.draining_ || !keep_alive_ || upload_ || discards_; }
-  bool upload_full() const { return upload_ && upload_->size() >= front_.budget_.whole(); }
+  bool upload_full() const { return upload_ && upload_->size() >= front_.budget_.buffered_body_limit(); }
   bool receiving() const {
     return state_ == State::kBetween || state_ == State::kReading || (state_ == State::kHeld && upload_);
   }
@@ -291,7 +291,7 @@
   void drop_upload() {
     if (!upload_) return;
     served_ = true;  // a request of ours, though it had not come whole
-    upload_->wanted = upload_->room = nullptr;
+    upload_->on_consumer_ready = upload_->on_drained = nullptr;
     upload_.reset();
     parser_.reset();
     pending_.clear();
@@ -304,7 +304,7 @@
         parser_.emplace();
         parser_->eager(true);
         parser_->header_limit(kMostHeader);
-        parser_->body_limit(kMostBody);
+        parser_->body_limit(kMaxBodySize);
         received_ = 0;
         headed_ = false;
         request_began_ = front_.clock_.now();
@@ -347,7 +347,7 @@
       malformed(400, e.what());
       return false;
     }
-    if (parser_->content_length().value_or(0) <= kMostBody) return true;
+    if (parser_->content_length().value_or(0) <= kMaxBodySize) return true;
     malformed(413, "body too large");
     return false;
   }
@@ -356,13 +356,13 @@
   void pass_body() {
     const auto length = parser_->content_length();
     if (upload_) {
-      upload_->put(std::exchange(body_, {}));
+      upload_->append(std::exchange(body_, {}));
       share_.set(upload_->size());
       if (upload_full() && upload_was_full_ == 0) upload_was_full_ = front_.clock_.now();
     } else if (health_) {
       body_.clear();
-    } else if (!parser_->is_done() &&
-               std::max<std::uint64_t>(length.value_or(0), body_.size()) > front_.budget_.whole()) {
+    } else if (!parser_->is_done() && std::max<std::uint64_t>(length.value_or(0), body_.size()) >
+                                          front_.budget_.buffered_body_limit()) {
       begin_upload(length ? std::optional<std::uint64_t>(*length) : std::nullopt);
     } else {
       share_.set(body_.size());
@@ -371,20 +371,20 @@
   }
 
   void begin_upload(std::optional<std::uint64_t> length) {
-    upload_ = std::make_shared<Upload>(length);
-    upload_->put(std::exchange(body_, {}));
+    upload_ = std::make_shared<BodyUpload>(length);
+    upload_->append(std::exchange(body_, {}));
     share_.set(upload_->size());
-    upload_->wanted = [weak = weak_from_this()] {
+    upload_->on_consumer_ready = [weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->invite();
     };
     incoming_->outgoing.upload = upload_;
     enter(State::kHeld);
-    request_ = front_.calls_.took(client_, std::move(*incoming_));
+    request_ = front_.callbacks_.on_request(client_, std::move(*incoming_));
     incoming_.reset();
     await_room();
   }
   void await_room() {
-    upload_->room = [weak = weak_from_this()] {
+    upload_->on_drained = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || !self->upload_) return;
       const Micros now = self->front_.clock_.now();
@@ -412,36 +412,36 @@
     served_ = served_ || !health_;
     if (upload_) {
       const auto upload = std::exchange(upload_, nullptr);
-      upload->wanted = upload->room = nullptr;
+      upload->on_consumer_ready = upload->on_drained = nullptr;
       share_.set(0);
       upload->finish();
-      return front_.calls_.uploaded(request_, missing_);
+      return front_.callbacks_.on_body_complete(request_, missing_);
     }
     if (health_) {
       // On an inherited socket the address stays served, by the successor.
       const bool going = front_.draining_ && !front_.inherited_;
-      Answer health;
+      Response health;
       health.status = going ? 503 : 200;
       health.body = going ? "draining\n" : "ok\n";
       return write(health, closes());
     }
     incoming_->outgoing.body = std::exchange(body_, {});
-    incoming_->came_at = arrivals_.front().came_at;
+    incoming_->received_at = arrivals_.front().received_at;
     enter(State::kHeld);
-    request_ = front_.calls_.took(client_, std::move(*incoming_));
+    request_ = front_.callbacks_.on_request(client_, std::move(*incoming_));
     incoming_.reset();
   }
 
   void malformed(int status, const std::string& why) {
     if (state_ == State::kHeld) return close();  // in the middle of a body that a server has begun to get
-    Answer a;
+    Response a;
     a.status = status;
     a.body = why + "\n";
     discards_ = true;
     write(a, true);
   }
 
-  void write(const Answer& a, bool last) {
+  void write(const Response& a, bool last) {
     last_ = last;
     drop_upload();
     body_.clear();
@@ -492,7 +492,7 @@
     if (!passing_) return wrote();
     share_.set(0);
     progress_ = kNever;  // it is the server that is awaited
-    front_.calls_.room(request_);
+    front_.callbacks_.on_writable(request_);
   }
 
   void wrote() {
@@ -511,7 +511,7 @@
   }
 
   static constexpr Micros kNever = std::numeric_limits<Micros>::max() / 2;
-  Frontend& front_;
+  ClientListener& front_;
   const std::uint64_t client_;
   tcp::socket socket_;
   State state_ = State::kBetween;
@@ -528,14 +528,14 @@
   // Danger: a request's time counts from its client's last byte, also while it waits behind another one.
   struct Arrival {
     std::uint64_t end = 0;  // of the bytes read with it, from the connection's begin
-    Micros came_at = 0;
+    Micros received_at = 0;
   };
   std::vector<Arrival> arrivals_;  // of what is not parsed yet, and of the last that is
   std::uint64_t bytes_read_ = 0, bytes_parsed_ = 0;
   bool read_before_ = false;
   std::optional<RequestParser> parser_;
   std::optional<ClientRequest> incoming_;
-  std::shared_ptr<Upload> upload_;
+  std::shared_ptr<BodyUpload> upload_;
   BodyBudget::Share share_;
   unsigned version_ = 11;
   Framing framing_ = Framing::kLength;
@@ -544,41 +544,42 @@
   bool health_ = false, expects_ = false, discards_ = false, passing_ = false, last_ = false;
 };
 
-Frontend::Frontend(asio::io_context& io, Timers& timers, const Clock& clock, const Settings& settings,
-                   std::size_t most_clients, BodyBudget& budget, Calls calls)
+ClientListener::ClientListener(asio::io_context& io, Timers& timers, const Clock& clock,
+                               const Settings& settings, std::size_t max_clients, BodyBudget& budget,
+                               Callbacks callbacks)
     : io_(io),
       timers_(timers),
       clock_(clock),
       settings_(settings),
-      most_clients_(most_clients),
+      max_clients_(max_clients),
       budget_(budget),
-      calls_(std::move(calls)),
+      callbacks_(std::move(callbacks)),
       chunk_(kReadSize),
       acceptor_(io) {
   sweep();
 }
-Frontend::~Frontend() = default;
+ClientListener::~ClientListener() = default;
 
 // Danger: an address may be taken, or the system short of something, for a moment; a gateway that ended then
 // would have crashed.
-void Frontend::listen(const tcp::endpoint& at, std::optional<int> inherited) {
+void ClientListener::listen(const tcp::endpoint& at, std::optional<int> inherited) {
   inherited_ = inherited.has_value();
   const error_code ec = open_listener(at, inherited);
   if (!ec) {
     accept();
-    return calls_.listening();
+    return callbacks_.on_listening();
   }
   const Micros now = clock_.now();
   if (now - listen_logged_ > kLogListenEvery) {
     listen_logged_ = now;
     std::cerr << "listen: " << ec.message() << "; trying again\n";
   }
-  timers_.after(kListenAgain, [this, at, inherited] {
+  timers_.schedule_after(kListenAgain, [this, at, inherited] {
     if (!draining_) listen(at, inherited);
   });
 }
 
-error_code Frontend::open_listener(const tcp::endpoint& at, std::optional<int> inherited) {
+error_code ClientListener::open_listener(const tcp::endpoint& at, std::optional<int> inherited) {
   error_code ec, ignored;
   if (inherited) {
     acceptor_.assign(at.protocol(), *inherited, ec);
@@ -595,7 +596,7 @@
   return ec;
 }
 
-void Frontend::accept() {
+void ClientListener::accept() {
   if (accepting_ || !acceptor_.is_open() || (draining_ && inherited_)) return;
   accepting_ = true;
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
@@ -607,7 +608,7 @@
   });
 }
 
-void Frontend::accept_failed(error_code ec) {
+void ClientListener::accept_failed(error_code ec) {
   switch (classify_accept(ec)) {
     case AcceptFailure::kCancelled:  // unless it is the successor's turn
     case AcceptFailure::kConnectionLost:
@@ -618,20 +619,20 @@
     case AcceptFailure::kTransient:
       break;
   }
-  timers_.after(kAcceptAgain, [this] { accept(); });
+  timers_.schedule_after(kAcceptAgain, [this] { accept(); });
 }
 
 // Danger: what waits in the backlog is taken, and its time runs.
-void Frontend::accept_on() {
-  if (sessions_.size() > most_clients_) make_room();
-  if (sessions_.size() <= most_clients_) return accept();
+void ClientListener::accept_on() {
+  if (sessions_.size() > max_clients_) make_room();
+  if (sessions_.size() <= max_clients_) return accept();
   // Once one has ended, or may go.
-  timers_.after(kAcceptAgain, [this] {
+  timers_.schedule_after(kAcceptAgain, [this] {
     if (!accepting_ && acceptor_.is_open()) accept_on();
   });
 }
 
-void Frontend::admit(tcp::socket socket) {
+void ClientListener::admit(tcp::socket socket) {
   const auto session = std::make_shared<Session>(*this, ++last_, std::move(socket));
   sessions_.emplace(last_, session);
   session->read();
@@ -639,69 +640,70 @@
 
 // For a new client, of the connections without a request under way: one that never sent a byte, else the one
 // that has been quiet for longest.
-void Frontend::make_room() {
+void ClientListener::make_room() {
   std::pair<bool, Micros> passed{false, 0};  // of those that are unsettled, as few are
   for (int tries = 0; tries < kMakeRoomTries; ++tries) {
     std::shared_ptr<Session> least;
     for (const auto& [client, s] : sessions_)
-      if (client != last_ && s->may_go() && s->worth() > passed && (!least || s->worth() < least->worth()))
+      if (client != last_ && s->may_go() && s->eviction_rank() > passed &&
+          (!least || s->eviction_rank() < least->eviction_rank()))
         least = s;
     if (!least) return;
     if (!least->unsettled()) return least->close();
-    passed = least->worth();
+    passed = least->eviction_rank();
   }
 }
 
-void Frontend::erase(std::uint64_t client) {
+void ClientListener::erase(std::uint64_t client) {
   sessions_.erase(client);
   accept();
 }
 
-void Frontend::answer(std::uint64_t client, Answer answer) {
+void ClientListener::respond(std::uint64_t client, Response answer) {
   if (const auto s = find(client)) s->answer(answer);
 }
 
-void Frontend::begin(std::uint64_t client, std::optional<std::uint64_t> length) {
+void ClientListener::start_response(std::uint64_t client, std::optional<std::uint64_t> length) {
   if (const auto s = find(client)) s->begin(length);
 }
 
-void Frontend::piece(std::uint64_t client, std::string bytes) {
+void ClientListener::write_chunk(std::uint64_t client, std::string bytes) {
   if (const auto s = find(client)) s->piece(bytes);
 }
 
-void Frontend::finish(std::uint64_t client) {
+void ClientListener::finish_response(std::uint64_t client) {
   if (const auto s = find(client)) s->finish();
 }
 
-void Frontend::cut(std::uint64_t client) {
+void ClientListener::abort_response(std::uint64_t client) {
   if (const auto s = find(client)) s->cut();
 }
 
-std::shared_ptr<Frontend::Session> Frontend::find(std::uint64_t client) const {
+std::shared_ptr<ClientListener::Session> ClientListener::find(std::uint64_t client) const {
   const auto it = sessions_.find(client);
   return it == sessions_.end() ? nullptr : it->second;
 }
 
-void Frontend::hand_over() {
+void ClientListener::yield_to_successor() {
   draining_ = true;
   error_code ignored;
   acceptor_.cancel(ignored);
   close_all_between();
 }
 
-void Frontend::take_back() {
+void ClientListener::resume_after_hot_restart() {
   draining_ = false;
   accept();
 }
 
-void Frontend::drain() {
+void ClientListener::drain() {
   draining_ = true;
   error_code ignored;
   if (inherited_) acceptor_.close(ignored);  // what has not been accepted is the successor's
   close_all_between();
 }
 
-void Frontend::stop_accepting() {
+void ClientListener::stop_accepting() {
   if (!acceptor_.is_open()) return close_all_between();
   // Danger: the kernel has taken clients that we have not; a close would reset them with their requests
   // unread.
@@ -720,19 +722,19 @@
     const AcceptFailure failure = classify_accept(ec);
     if (failure == AcceptFailure::kConnectionLost && ++lost < kMostLostAtOnce) continue;
     if (failure == AcceptFailure::kNoDescriptors) make_room();
-    return timers_.after(kAcceptAgain, [this] { stop_accepting(); });
+    return timers_.schedule_after(kAcceptAgain, [this] { stop_accepting(); });
   }
   emptying_backlog_ = false;
   acceptor_.close(ignored);
   close_all_between();
 }
 
-void Frontend::close_all_between() {
+void ClientListener::close_all_between() {
   const auto sessions = sessions_;
   for (const auto& [client, s] : sessions) s->close_between();
 }
 
-bool Frontend::quiet() const {
+bool ClientListener::is_idle() const {
   // Danger: an answer is the client's only once that has taken it; our end would reset what is on its way.
   return !emptying_backlog_ && std::all_of(sessions_.begin(), sessions_.end(), [](const auto& entry) {
     Session& s = *entry.second;
@@ -740,13 +742,13 @@
   });
 }
 
-void Frontend::sweep() {
+void ClientListener::sweep() {
   const Micros now = clock_.now();
   const auto sessions = sessions_;
   for (const auto& [client, s] : sessions) {
     s->close_if_slow(now);
   }
-  timers_.after(kSweep, [this] { sweep(); });
+  timers_.schedule_after(kSweep, [this] { sweep(); });
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/frontend.hpp
+++ b/src/client/client_listener.hpp
@@ -9,58 +9,57 @@
 #include <unordered_map>
 #include <vector>
 
-#include "body.hpp"
-#include "client_request.hpp"
-#include "cottonroad/gateway.hpp"
-#include "timers.hpp"
-#include "upstream.hpp"
+#include "client/client_request.hpp"
+#include "network/body_transfer.hpp"
+#include "quota_gateway/decision_engine.hpp"
+#include "runtime/timers.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 
-struct Answer {
+struct Response {
   int status = 502;
   Micros retry_after = 0;  // 0: none
   std::string body;
 };
 
-class Frontend {
+class ClientListener {
  public:
-  struct Calls {
+  struct Callbacks {
     // Takes a request of a client and returns the number under which the others will name it.
-    std::function<std::uint64_t(std::uint64_t client, ClientRequest)> took;
+    std::function<std::uint64_t(std::uint64_t client, ClientRequest)> on_request;
     // All of its body has come; some of that had not been sent `missing`.
-    std::function<void(std::uint64_t request, Micros missing)> uploaded;
+    std::function<void(std::uint64_t request, Micros missing)> on_body_complete;
     // Not all of it has, but all that is still to come may have been sent since `missing`.
-    std::function<void(std::uint64_t request, Micros missing)> behind;
-    std::function<void(std::uint64_t request)> gone;  // its client has
-    std::function<void(std::uint64_t request)> room;  // for more of an answer that has begun
-    std::function<void()> listening;                  // clients can connect now
+    std::function<void(std::uint64_t request, Micros missing)> on_body_lagging;
+    std::function<void(std::uint64_t request)> on_client_disconnected;  // its client has
+    std::function<void(std::uint64_t request)> on_writable;  // for more of an answer that has begun
+    std::function<void()> on_listening;                      // clients can connect now
   };
-  Frontend(boost::asio::io_context& io, Timers& timers, const Clock& clock, const Settings& settings,
-           std::size_t most_clients, BodyBudget& budget, Calls calls);
-  ~Frontend();
+  ClientListener(boost::asio::io_context& io, Timers& timers, const Clock& clock, const Settings& settings,
+                 std::size_t max_clients, BodyBudget& budget, Callbacks callbacks);
+  ~ClientListener();
 
   // On the inherited socket, where there is one. Tried again until it succeeds.
   void listen(const boost::asio::ip::tcp::endpoint& at, std::optional<int> inherited);
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   // The one answer to the request that the client waits for; nobody is there to hear it if it has gone.
-  void answer(std::uint64_t client, Answer answer);
+  void respond(std::uint64_t client, Response response);
   // In its place, one that is passed on as it comes: its begin, pieces, each but the first when there is
   // `room`, and its end or, if it can't be finished, a cut that the client sees. Without a length it is
   // chunked.
-  void begin(std::uint64_t client, std::optional<std::uint64_t> length);
-  void piece(std::uint64_t client, std::string bytes);
-  void finish(std::uint64_t client);
-  void cut(std::uint64_t client);
+  void start_response(std::uint64_t client, std::optional<std::uint64_t> length);
+  void write_chunk(std::uint64_t client, std::string bytes);
+  void finish_response(std::uint64_t client);
+  void abort_response(std::uint64_t client);
   // Another process takes clients from the inherited socket now, or no more.
-  void hand_over();
-  void take_back();
-  bool takes_clients() const { return acceptor_.is_open() && !draining_; }
+  void yield_to_successor();
+  void resume_after_hot_restart();
+  bool is_accepting_clients() const { return acceptor_.is_open() && !draining_; }
   // Closes connections between requests; new ones are taken until stop_accepting().
   void drain();
   void stop_accepting();
   // Nothing is being read, held or written, and no client that has connected is still to send its request.
-  bool quiet() const;
+  bool is_idle() const;
 
  private:
   class Session;
@@ -80,9 +79,9 @@
   Timers& timers_;
   const Clock& clock_;
   const Settings& settings_;
-  const std::size_t most_clients_;
+  const std::size_t max_clients_;
   BodyBudget& budget_;
-  const Calls calls_;
+  const Callbacks callbacks_;
   std::vector<char> chunk_;  // what was just read, of any connection
   boost::asio::ip::tcp::acceptor acceptor_;
   std::unordered_map<std::uint64_t, std::shared_ptr<Session>> sessions_;
@@ -94,4 +93,4 @@
   bool inherited_ = false;  // another process may take clients from the same socket
 };
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/client_request.cpp
+++ b/src/client/client_request.cpp
@@ -1,16 +1,16 @@
-#include "client_request.hpp"
+#include "client/client_request.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <string_view>
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 namespace {
 
 namespace http = boost::beast::http;
 
-constexpr Micros kLongestPatience = 3600'000'000;
+constexpr Micros kMaxTimeout = 3600'000'000;
 
 std::string_view view(boost::beast::string_view s) { return {s.data(), s.size()}; }
 
@@ -22,16 +22,16 @@
   return value;
 }
 
-Micros parse_patience(std::string_view text) {
+Micros parse_timeout(std::string_view text) {
   if (text.size() < 2) throw BadRequest("bad X-Expires-In");
   const char unit = text.back();
   if (unit != 'm' && unit != 'u') throw BadRequest("bad X-Expires-In");
   const double value = number(text.substr(0, text.size() - 1), "X-Expires-In") * (unit == 'm' ? 1000 : 1);
-  return Micros(std::min(value, double(kLongestPatience)));
+  return Micros(std::min(value, double(kMaxTimeout)));
 }
 
-void parse_quota(std::string_view text, double largest_units, RequestArrived& out) {
-  out.set_size = 0;
+void parse_quota(std::string_view text, double max_request_units, RequestArrived& out) {
+  out.gateway_set_size = 0;
   while (!text.empty()) {
     const auto comma = std::min(text.find(','), text.size());
     std::string_view part = text.substr(0, comma);
@@ -43,10 +43,10 @@
     const double value = std::min(number(part.substr(equals + 1), "Quota-Info"), 1e6);
     // Danger: units that no request can have would be added to its customer's total for all gateways, and
     // make every other request look like no work at all.
-    if (name == "units" && (value <= 0 || value > largest_units)) throw BadRequest("bad Quota-Info");
+    if (name == "units" && (value <= 0 || value > max_request_units)) throw BadRequest("bad Quota-Info");
     if (name == "units") out.units = value;
-    if (name == "spread") out.set_size = int(value);
-    if (name == "first") out.first_gateway = int(value);
+    if (name == "spread") out.gateway_set_size = int(value);
+    if (name == "first") out.first_gateway_index = int(value);
   }
 }
 
@@ -69,16 +69,17 @@
   const auto cls = std::find_if(settings.classes.begin(), settings.classes.end(),
                                 [&](const ClassSettings& c) { return c.name == a.request_class; });
   if (cls == settings.classes.end()) throw BadRequest("no such class");
-  const auto wanted = cls->repeat == Repeat::kSafe ? http::verb::get : http::verb::post;
+  const auto wanted = cls->idempotency == Idempotency::kIdempotent ? http::verb::get : http::verb::post;
   if (r.method() != wanted) throw BadRequest("the method does not fit the class");
   out.outgoing.trace_id = std::string(view(r["X-Trace-Id"]));
   if (out.outgoing.trace_id.empty()) throw BadRequest("no X-Trace-Id");
-  out.outgoing.key = std::string(view(r["Idempotency-Key"]));
-  if (cls->repeat == Repeat::kKeyed && out.outgoing.key.empty()) throw BadRequest("no Idempotency-Key");
+  out.outgoing.idempotency_key = std::string(view(r["Idempotency-Key"]));
+  if (cls->idempotency == Idempotency::kByKey && out.outgoing.idempotency_key.empty())
+    throw BadRequest("no Idempotency-Key");
   const auto expires = view(r["X-Expires-In"]);
-  out.patience = expires.empty() ? cls->deadline : parse_patience(expires);
+  out.timeout = expires.empty() ? cls->client_timeout : parse_timeout(expires);
   a.plan = std::string(view(r["Plan"]));
-  parse_quota(view(r["Quota-Info"]), settings.largest_units, a);
+  parse_quota(view(r["Quota-Info"]), settings.max_request_units, a);
   a.client_retry = r["X-Second-Try"] == "1";
   out.outgoing.method = std::string(view(r.method_string()));
   out.outgoing.target = std::string(target);
@@ -86,4 +87,4 @@
   return out;
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/client_request.hpp
+++ b/src/client/client_request.hpp
@@ -6,19 +6,19 @@
 #include <stdexcept>
 #include <string>
 
-#include "cottonroad/gateway.hpp"
-#include "upstream.hpp"
+#include "network/outgoing_request.hpp"
+#include "quota_gateway/decision_engine.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 
 using RequestParser = boost::beast::http::request_parser<boost::beast::http::buffer_body>;
 using RequestMessage = RequestParser::value_type;
 
 struct ClientRequest {
   RequestArrived arrived;  // `id` and `deadline` are the driver's to fill in
-  Micros patience = 0;     // how long the client waits
-  Micros came_at = 0;      // its last byte, unless its body is still to come
-  Outgoing outgoing;
+  Micros timeout = 0;      // how long the client waits
+  Micros received_at = 0;  // its last byte, unless its body is still to come
+  OutgoingRequest outgoing;
 };
 
 // What a client sent that is no request of ours; answered 400.
@@ -30,4 +30,4 @@
 // Throws BadRequest on what the protocol does not allow, or the settings do not name.
 ClientRequest parse_request(const RequestMessage& message, const Settings& settings);
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/counter.cpp
+++ b/src/counter/counter_client.cpp
@@ -1,4 +1,4 @@
-#include "counter.hpp"
+#include "counter/counter_client.hpp"
 
 #include <hiredis/hiredis.h>
 
@@ -11,9 +11,9 @@
 #include <iostream>
 #include <string_view>
 
-#include "stream_io.hpp"
+#include "network/stream_io.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 namespace {
 
 namespace asio = boost::asio;
@@ -56,30 +56,30 @@
 
 }  // namespace
 
-Counter::Counter(asio::io_context& io, Timers& timers, const Clock& clock, tcp::endpoint address,
-                 Micros call_timeout, Micros dial_timeout, Answered answered)
+CounterClient::CounterClient(asio::io_context& io, Timers& timers, const Clock& clock, tcp::endpoint address,
+                             Micros call_timeout, Micros connect_timeout, ReplyCallback answered)
     : io_(io),
       timers_(timers),
       clock_(clock),
       address_(std::move(address)),
       call_timeout_(call_timeout),
-      dial_timeout_(dial_timeout),
+      dial_timeout_(connect_timeout),
       answered_(std::move(answered)),
       socket_(io) {}
 
-void Counter::start() {
+void CounterClient::start() {
   connect();
   tend();
 }
 
-void Counter::move(const tcp::endpoint& address) {
+void CounterClient::reconnect_to(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   backoff_ = 0;
   lost("moved");
 }
 
-void Counter::connect() {
+void CounterClient::connect() {
   const int life = ++life_;
   state_ = State::kConnecting;
   heard_ = clock_.now();
@@ -101,28 +101,28 @@
     write();
     read();
   });
-  timers_.after(dial_timeout_, [this, life] {
+  timers_.schedule_after(dial_timeout_, [this, life] {
     if (life == life_ && state_ == State::kConnecting) lost("never came up");
   });
 }
 
-void Counter::add(const AddToCounter& call) {
+void CounterClient::increment(const IncrementCounter& call) {
   Call c;
   c.name = call.name;
   c.made = clock_.now();
   c.number = ++number_;
   if (state_ == State::kDown || calls_.size() >= kMostUnanswered || !std::isfinite(call.amount)) {
-    asio::post(io_, [this, c]() mutable { finish(c, CountOutcome::kNotAdded); });
+    asio::post(io_, [this, c]() mutable { finish(c, CounterOutcome::kNotAdded); });
     return;
   }
-  const Micros life = std::clamp<Micros>(call.forget_after / 1000, 1, 60'000);
+  const Micros life = std::clamp<Micros>(call.ttl / 1000, 1, 60'000);
   c.command = format({"CNT.ADD", std::to_string(call.name), decimal(call.amount), std::to_string(life)});
-  timers_.at(c.made + call_timeout_, [this, number = c.number] { expire(number); });
+  timers_.schedule_at(c.made + call_timeout_, [this, number = c.number] { expire(number); });
   calls_.push_back(std::move(c));
   write();
 }
 
-void Counter::write() {
+void CounterClient::write() {
   if (state_ != State::kUp || !writing_.empty()) return;
   for (Call& c : calls_) {
     if (c.command.empty()) continue;
@@ -141,7 +141,7 @@
       });
 }
 
-void Counter::read() {
+void CounterClient::read() {
   socket_.async_read_some(asio::buffer(chunk_), [this, life = life_](error_code ec, std::size_t size) {
     if (life != life_) return;
     if (ec) return lost(ec.message());
@@ -152,7 +152,7 @@
   });
 }
 
-void Counter::took(std::size_t size) {
+void CounterClient::took(std::size_t size) {
   if (redisReaderFeed(reader_.get(), chunk_.data(), size) != REDIS_OK) return lost("reader failed");
   while (true) {
     void* raw = nullptr;
@@ -165,7 +165,7 @@
   if (reader_->len - reader_->pos > kMostReply) lost("oversized reply");
 }
 
-bool Counter::reply(void* raw) {
+bool CounterClient::reply(void* raw) {
   const auto& r = *static_cast<redisReply*>(raw);
   Call call = calls_.front();
   calls_.pop_front();
@@ -173,33 +173,33 @@
   const std::string_view text(r.str ? r.str : "", r.str ? r.len : 0);
   double total = 0;
   if (r.type == REDIS_REPLY_STRING && parse_total(text, total)) {
-    finish(call, CountOutcome::kOk, total);
+    finish(call, CounterOutcome::kOk, total);
     return true;
   }
   const bool turned_away =
       r.type == REDIS_REPLY_ERROR && (text.substr(0, 4) == "BUSY" || text.substr(0, 3) == "ERR");
-  finish(call, turned_away ? CountOutcome::kNotAdded : CountOutcome::kUnknown);
+  finish(call, turned_away ? CounterOutcome::kNotAdded : CounterOutcome::kUnknown);
   return turned_away;
 }
 
 // Our time-out. A call that never left is taken out of the line and known not to be added.
-void Counter::expire(std::uint64_t number) {
+void CounterClient::expire(std::uint64_t number) {
   const auto it = std::lower_bound(calls_.begin(), calls_.end(), number,
                                    [](const Call& c, std::uint64_t n) { return c.number < n; });
   if (it == calls_.end() || it->number != number || it->answered) return;
-  if (it->command.empty()) return finish(*it, CountOutcome::kUnknown);
+  if (it->command.empty()) return finish(*it, CounterOutcome::kUnknown);
   Call call = std::move(*it);
   calls_.erase(it);
-  finish(call, CountOutcome::kNotAdded);
+  finish(call, CounterOutcome::kNotAdded);
 }
 
-void Counter::finish(Call& call, CountOutcome outcome, double total) {
+void CounterClient::finish(Call& call, CounterOutcome outcome, double total) {
   if (call.answered || call.ping) return;
   call.answered = true;
   answered_({call.name, total, outcome, clock_.now() - call.made});
 }
 
-void Counter::lost(const std::string& why) {
+void CounterClient::lost(const std::string& why) {
   error_code ignored;
   socket_.close(ignored);
   const int life = ++life_;
@@ -218,17 +218,17 @@
   // Spread, so that gateways that lost it together do not return together.
   const Micros wait = backoff_ * 3 / 4 + (backoff_ > 0 ? now % (backoff_ / 2) : 0);
   backoff_ = std::clamp(2 * backoff_, kFirstBackoff, kMostBackoff);
-  timers_.after(wait, [this, life] {
+  timers_.schedule_after(wait, [this, life] {
     if (life == life_) connect();
   });
   for (Call& c : calls) {
     const bool left = c.command.empty() && c.end <= sent;
-    finish(c, left ? CountOutcome::kUnknown : CountOutcome::kNotAdded);
+    finish(c, left ? CounterOutcome::kUnknown : CounterOutcome::kNotAdded);
   }
 }
 
 // Keeps an idle connection open and finds one that has gone silent.
-void Counter::tend() {
+void CounterClient::tend() {
   const Micros now = clock_.now();
   if (state_ == State::kUp) {
     if (!calls_.empty() && now - std::max(calls_.front().made, heard_) > kSilentAfter) {
@@ -244,7 +244,7 @@
       write();
     }
   }
-  timers_.after(kTend, [this] { tend(); });
+  timers_.schedule_after(kTend, [this] { tend(); });
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/counter.hpp
+++ b/src/counter/counter_client.hpp
@@ -10,22 +10,22 @@
 #include <memory>
 #include <string>
 
-#include "cottonroad/gateway.hpp"
-#include "timers.hpp"
+#include "quota_gateway/decision_engine.hpp"
+#include "runtime/timers.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 
-class Counter {
+class CounterClient {
  public:
-  using Answered = std::function<void(CounterAnswered)>;
-  Counter(boost::asio::io_context& io, Timers& timers, const Clock& clock,
-          boost::asio::ip::tcp::endpoint address, Micros call_timeout, Micros dial_timeout,
-          Answered answered);
+  using ReplyCallback = std::function<void(CounterReply)>;
+  CounterClient(boost::asio::io_context& io, Timers& timers, const Clock& clock,
+                boost::asio::ip::tcp::endpoint address, Micros call_timeout, Micros connect_timeout,
+                ReplyCallback answered);
   void start();
   // Goes on at another address. What is under way at the old one may be added there or not.
-  void move(const boost::asio::ip::tcp::endpoint& address);
+  void reconnect_to(const boost::asio::ip::tcp::endpoint& address);
   // Exactly one answer follows, never from within this call.
-  void add(const AddToCounter& call);
+  void increment(const IncrementCounter& call);
 
  private:
   enum class State { kDown, kConnecting, kUp };
@@ -50,14 +50,14 @@
   void lost(const std::string& why);
   void expire(std::uint64_t number);
   void tend();
-  void finish(Call& call, CountOutcome outcome, double total = 0);
+  void finish(Call& call, CounterOutcome outcome, double total = 0);
 
   boost::asio::io_context& io_;
   Timers& timers_;
   const Clock& clock_;
   boost::asio::ip::tcp::endpoint address_;
   const Micros call_timeout_, dial_timeout_;
-  Answered answered_;
+  ReplyCallback answered_;
   boost::asio::ip::tcp::socket socket_;
   std::unique_ptr<redisReader, ReaderFree> reader_;
   redisReplyObjectFunctions functions_{};
@@ -71,4 +71,4 @@
   Micros heard_ = 0, backoff_ = 0, logged_ = 0;
 };
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/brain.cpp
+++ b/src/decision/decision_engine.cpp
@@ -1,5 +1,7 @@
 // The gateway's decisions on requests: admission, attempts, waiting and final answers. It deals in the plain
-// events and actions of include/cottonroad/gateway.hpp; quotas and servers are in src/policy.
+// events and actions of include/quota_gateway/decision_engine.hpp; quotas and servers are in src/policy.
+#include "quota_gateway/decision_engine.hpp"
+
 #include <algorithm>
 #include <cstdint>
 #include <deque>
@@ -8,16 +10,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "cottonroad/gateway.hpp"
-#include "policy/estimates.hpp"
-#include "policy/figures.hpp"
-#include "policy/numbers.hpp"
-#include "policy/quota_slices.hpp"
-#include "policy/server_pool.hpp"
+#include "decision/endpoints/endpoint_pool.hpp"
+#include "decision/field_serialization.hpp"
+#include "decision/latency_estimates.hpp"
+#include "decision/numeric.hpp"
+#include "decision/quota/quota_slices.hpp"
 
-namespace cottonroad {
+namespace quota_gateway {
 
-using namespace policy;
+using namespace decision;
 
 namespace {
 
@@ -32,7 +33,7 @@
 constexpr Micros kLogEvery = 5'000'000;  // us between log lines of one kind
 
 struct Attempt {
-  Server* server = nullptr;
+  Endpoint* endpoint = nullptr;
   Micros sent = 0;
   bool out = true;
   bool may_have_run = true;
@@ -51,7 +52,7 @@
 struct Request {
   std::string id;
   const ClassSettings* cls = nullptr;
-  Customer* customer = nullptr;
+  CustomerQuota* customer = nullptr;
   double units = 1;
   double quota_units = 1;  // what it takes of the quota: units, or attempt-seconds under an open cap
   double expected = 0;     // us; its answer time, by its class and units
@@ -62,8 +63,8 @@
   bool over = false;   // beyond the quota as far as we know
   bool done = false;
   bool held = false;
-  bool waits = false;      // for the first total of its customer
-  bool uploading = false;  // no work at a server yet
+  bool waits = false;         // for the first total of its customer
+  bool body_pending = false;  // no work at a server yet
   int out = 0;
   std::vector<Attempt> attempts;
 };
@@ -71,47 +72,47 @@
 }  // namespace
 
 // ---- Attempts -----------------------------------------------------------------------------------------
-class Gateway::Impl {
+class DecisionEngine::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed)
       : settings_(std::move(settings)),
         seed_(seed),
-        slices_(settings_, mix(seed + 2)),
-        servers_(settings_, mix(seed + 1)) {
-    settings_.gateways = std::max(1, settings_.gateways);
-    settings_.largest_units = std::max(1.0, settings_.largest_units);
+        slices_(settings_, mix_bits(seed + 2)),
+        endpoints_(settings_, mix_bits(seed + 1)) {
+    settings_.gateway_count = std::max(1, settings_.gateway_count);
+    settings_.max_request_units = std::max(1.0, settings_.max_request_units);
     means_.resize(settings_.classes.size() + 1);
     met_.resize(means_.size());
     units_.resize(means_.size());
   }
 
-  ServerCount count_servers(Micros now) const { return servers_.count(now); }
+  EndpointCounts count_endpoints(Micros now) const { return endpoints_.count(now); }
 
-  Handover hand_over() {
-    Handover out;
+  HotRestartState begin_hot_restart() {
+    HotRestartState out;
     handed_over_ = true;
-    slices_.save(out);
-    servers_.save(out);
-    out.fleet = save_figures(*this);
+    slices_.save_state(out);
+    endpoints_.save_state(out);
+    out.fleet = serialize_fields(*this);
     // What waits here will still be sent on.
     for (const std::string& id : held_) {
       const Request& r = requests_.at(id);
       if (r.done || !r.attempts.empty()) continue;
       for (auto& [who, customer] : out.customers)
-        if (slices_.known(who) == r.customer) {
-          Customer c;
-          load_figures(c, customer.second);
-          c.ceiling -= r.units;
-          customer.second = save_figures(c);
+        if (slices_.find(who) == r.customer) {
+          CustomerQuota c;
+          deserialize_fields(c, customer.second);
+          c.hard_limit_tokens -= r.units;
+          customer.second = serialize_fields(c);
         }
     }
     return out;
   }
-  std::map<std::string, int> open_attempts() const { return slices_.open(); }
+  std::map<std::string, int> attempts_in_flight() const { return slices_.attempts_in_flight(); }
   template <typename F>
-  void figures(F f) {
-    slices_.figures(f);
-    servers_.figures(f);
+  void visit_fields(F f) {
+    slices_.visit_fields(f);
+    endpoints_.visit_fields(f);
     for (double& mean : means_) f(mean);
     for (double& n : met_) f(n);
     for (double& units : units_) f(units);
@@ -123,9 +124,9 @@
     out_ = &out;
     if (!started_) {
       started_ = true;
-      if (settings_.list_on_request) emit(SubscribeList{});
+      if (settings_.subscribe_to_endpoints) emit(SubscribeEndpoints{});
       next_look_ =
-          now + 1 + Micros(mix(seed_) % std::uint64_t(kPeriod));  // gateways look at times of their own
+          now + 1 + Micros(mix_bits(seed_) % std::uint64_t(kPeriod));  // gateways look at times of their own
       emit(SetTimer{next_look_, kLook});
     }
     for (const Event& e : events) std::visit([this](const auto& x) { on(x); }, e);
@@ -139,34 +140,34 @@
     auto [it, fresh] = logged_.try_emplace(kind, now_);
     if (!fresh && now_ - it->second < kLogEvery) return;
     it->second = now_;
-    emit(LogLine{std::string(kind).append(": ").append(text)});
+    emit(LogMessage{std::string(kind).append(": ").append(text)});
   }
 
-  void on(const ServerListUpdate& e) {
-    servers_.update(now_, e);
-    if (e.kind == ServerListUpdate::Kind::kError && settings_.list_on_request) {
+  void on(const EndpointListUpdate& e) {
+    endpoints_.update(now_, e);
+    if (e.kind == EndpointListUpdate::Kind::kError && settings_.subscribe_to_endpoints) {
       log("list", "asking failed, asking again");
-      emit(SetTimer{now_ + settings_.list_ask_within / 8, kResubscribe});
+      emit(SetTimer{now_ + settings_.subscribe_within / 8, kResubscribe});
     }
   }
-  void on(const ServerSwitched& e) {
-    servers_.update(now_, e);
-    log(e.disabled ? "disabled" : "enabled", e.server + " by hand");
+  void on(const AdminStateChanged& e) {
+    endpoints_.update(now_, e);
+    log(e.disabled ? "disabled" : "enabled", e.endpoint + " by hand");
   }
-  void on(const WallClockMoved& e) {
-    servers_.set_wall_offset(e.offset);
+  void on(const WallClockStepped& e) {
+    endpoints_.set_wall_offset(e.offset);
     slices_.set_wall_offset(now_, e.offset);
   }
-  void on(const TookOver& e) {
-    for (const auto& [who, customer] : e.from.customers)
+  void on(const StateRestored& e) {
+    for (const auto& [who, customer] : e.state.customers)
       for (const PlanSettings& p : settings_.plans)
-        if (p.name == customer.first) slices_.load(who, p, customer.second);
-    for (const auto& [name, figures] : e.from.servers) servers_.load(name, figures);
-    load_figures(*this, e.from.fleet);
+        if (p.name == customer.first) slices_.restore_customer(who, p, customer.second);
+    for (const auto& [name, figures] : e.state.endpoints) endpoints_.restore_endpoint(name, figures);
+    deserialize_fields(*this, e.state.fleet);
   }
-  void on(const PredecessorOpen& e) { slices_.elsewhere(e.open); }
-  void on(const TookBack&) { handed_over_ = false; }
-  void on(const StreamStarted& e) {
+  void on(const PredecessorAttempts& e) { slices_.set_predecessor_attempts(e.in_flight); }
+  void on(const HotRestartAborted&) { handed_over_ = false; }
+  void on(const ResponseStarted& e) {
     auto it = requests_.find(e.id);
     if (it == requests_.end()) return;
     Request& r = it->second;
@@ -174,34 +175,34 @@
     if (e.attempt < 0 || e.attempt >= int(r.attempts.size()) || e.duration <= 0) return;
     Attempt& a = r.attempts[std::size_t(e.attempt)];
     if (!a.out || std::exchange(a.counted, true)) return;
-    if (std::exchange(r.uploading, false)) servers_.sent(now_, *a.server, 0);
+    if (std::exchange(r.body_pending, false)) endpoints_.on_attempt_sent(now_, *a.endpoint, 0);
     // Danger: a large answer takes as long as its client likes; its server has done its work by now.
-    count(r, a, Outcome::kOk, e.duration, e.billed, e.load);
+    count(r, a, Outcome::kOk, e.duration, e.billed_units, e.load);
   }
-  void on(const BodyArrived& e) {
+  void on(const RequestBodyCompleted& e) {
     auto it = requests_.find(e.id);
-    if (it == requests_.end() || !it->second.uploading) return;
+    if (it == requests_.end() || !it->second.body_pending) return;
     Request& r = it->second;
-    r.uploading = false;
+    r.body_pending = false;
     r.give_up = give_up(*r.cls, e.deadline);
     for (std::size_t i = 0; i < r.attempts.size(); ++i) {
       Attempt& a = r.attempts[i];
       if (!a.out) continue;
       a.sent = now_;  // its server begins only now
-      servers_.sent(now_, *a.server, r.expected / kSecond);
+      endpoints_.on_attempt_sent(now_, *a.endpoint, r.expected / kMicrosPerSecond);
       watch(r, int(i), Micros(kDoubtAfter * r.expected));
     }
   }
   void on(const ProbeEnded&) {}
-  void on(const CounterAnswered& e) {
-    if (Customer* c = slices_.answered(now_, e)) {
-      for (const std::string& id : std::exchange(c->waiting, {}))
+  void on(const CounterReply& e) {
+    if (CustomerQuota* c = slices_.on_counter_reply(now_, e)) {
+      for (const std::string& id : std::exchange(c->requests_awaiting_total, {}))
         if (auto it = requests_.find(id); it != requests_.end() && it->second.waits) decide(it->second);
     }
-    if (e.outcome != CountOutcome::kOk) log("counter", "no answer or refused; totals are held");
+    if (e.outcome != CounterOutcome::kOk) log("counter", "no answer or refused; totals are held");
   }
 
-  void on(const ClientGone& e) {
+  void on(const RequestCancelled& e) {
     auto it = requests_.find(e.id);
     if (it == requests_.end()) return;
     finish(it->second);
@@ -210,7 +211,7 @@
 
   void on(const TimerFired& e) {
     if (e.token == kLook) return look();
-    if (e.token == kResubscribe) return emit(SubscribeList{});
+    if (e.token == kResubscribe) return emit(SubscribeEndpoints{});
     auto found = timers_.find(e.token);
     if (found == timers_.end()) return;
     const RequestTimer timer = found->second;
@@ -229,9 +230,9 @@
   }
 
   void look() {
-    servers_.look(now_);
+    endpoints_.on_period(now_);
     log_refused();
-    if (!handed_over_) slices_.look(now_, *out_);       // its use is the successor's to count
+    if (!handed_over_) slices_.on_period(now_, *out_);  // its use is the successor's to count
     next_look_ = std::max(next_look_ + kPeriod, now_);  // a late batch skips looks
     emit(SetTimer{next_look_, kLook});
   }
@@ -243,11 +244,11 @@
     const PlanSettings* plan = &unknown_plan_;
     for (const PlanSettings& p : settings_.plans)
       if (p.name == e.plan) plan = &p;
-    Customer& c = slices_.find(now_, e, *plan);
+    CustomerQuota& c = slices_.find_or_create(now_, e, *plan);
     double& usual = units_[index(*cls)];
-    usual += (usual > 0 ? kMeanGain : 1.0) * (std::min(e.units, settings_.largest_units) - usual);
-    const double quota_units = plan->rate > 0 ? e.units : expected(*cls, e.units) / kSecond;
-    slices_.count(now_, c, quota_units);
+    usual += (usual > 0 ? kMeanGain : 1.0) * (std::min(e.units, settings_.max_request_units) - usual);
+    const double quota_units = plan->rate > 0 ? e.units : expected(*cls, e.units) / kMicrosPerSecond;
+    slices_.record_demand(now_, c, quota_units);
     Request& r = requests_[e.id];
     r.id = e.id;
     r.cls = cls;
@@ -255,16 +256,16 @@
     r.units = e.units;
     r.quota_units = quota_units;
     r.expected = expected(*cls, e.units);
-    r.value = cls->worth * plan->price * e.units / r.expected;
+    r.value = cls->priority_weight * plan->priority_factor * e.units / r.expected;
     r.arrived = now_;
-    r.uploading = e.uploading;
-    r.give_up = e.uploading ? e.deadline : give_up(*cls, e.deadline);
+    r.body_pending = e.body_pending;
+    r.give_up = e.body_pending ? e.deadline : give_up(*cls, e.deadline);
     // Danger: where each of a hundred gateways meets a customer now and then, none would ever know a total
     // when it is needed. The first request waits for it, a counter's time-out at most.
-    if (!handed_over_ && slices_.call(now_, e.customer, c, *out_) &&
+    if (!handed_over_ && slices_.sync_if_due(now_, e.customer, c, *out_) &&
         e.deadline - now_ > settings_.counter_timeout + 2 * settings_.tick) {
       r.waits = true;
-      c.waiting.push_back(e.id);
+      c.requests_awaiting_total.push_back(e.id);
       timers_[++timer_] = {r.id, RequestTimer::Purpose::kDecide};
       emit(SetTimer{now_ + settings_.counter_timeout + settings_.tick, timer_});
     } else {
@@ -275,30 +276,31 @@
   // Within the slice or not? Refused at once if not.
   void decide(Request& r) {
     r.waits = false;
-    Customer& c = *r.customer;
+    CustomerQuota& c = *r.customer;
     const PlanSettings& plan = *c.plan;
     if (handed_over_) {  // another process admits from this slice now
-      emit(Refuse{r.id, settings_.tick});
+      emit(RejectRequest{r.id, settings_.tick});
       finish(r);
       return forget(requests_.find(r.id));
     }
     slices_.advance(now_, c);
-    const bool sliced = slices_.covers(c, r.quota_units), capped = !open_cap_covers(c);
-    const bool within = sliced && !capped, under = ceiling_covers(now_, c, r.units);
+    const bool sliced = slices_.has_tokens(c, r.quota_units), capped = !concurrency_cap_allows(c);
+    const bool within = sliced && !capped, under = hard_limit_allows(now_, c, r.units);
     // A plan that earns more beyond its quota than it costs is let through while servers have room.
-    const bool excess = plan.over_worth > plan.over_cost && servers_.pressure(now_) < kRelaxed;
+    const bool excess = plan.excess_weight > plan.excess_cost && endpoints_.utilization(now_) < kRelaxed;
     if (!under || (!within && !excess)) {
       ++refused_[!under ? "ceiling" : capped ? "open cap" : "slice"];
       // Danger: each limit has a time of its own. By the slice's store alone, a client that another limit
       // refused was told to come back at once, and was refused again.
-      const double lacks = std::max({under ? 0 : ceiling_lacks(c, r.units), capped ? r.expected / kSecond : 0,
-                                     sliced ? 0 : slices_.lacks(c, r.quota_units)});
-      emit(Refuse{r.id, slices_.retry_after(lacks, r.cls->aim)});
+      const double lacks = std::max({under ? 0 : time_until_hard_limit_allows(c, r.units),
+                                     capped ? r.expected / kMicrosPerSecond : 0,
+                                     sliced ? 0 : slices_.time_until_available(c, r.quota_units)});
+      emit(RejectRequest{r.id, slices_.retry_after(lacks, r.cls->latency_objective)});
       finish(r);
       return forget(requests_.find(r.id));
     }
     r.over = !within;
-    if (within) slices_.take(c, r.quota_units);
+    if (within) slices_.consume(c, r.quota_units);
     if (send(r)) return;
     if (within) return hold(r);
     end(r);
@@ -306,20 +308,20 @@
   }
 
   Micros give_up(const ClassSettings& cls, Micros deadline) const {
-    return cls.late_worth > 0 ? deadline : std::min(deadline, now_ + cls.aim);
+    return cls.late_weight > 0 ? deadline : std::min(deadline, now_ + cls.latency_objective);
   }
   // Why requests were given up; a share refused does not tell.
   void log_refused() {
     if (refused_.empty() || now_ - refused_at_ < kLogEvery) return;
     std::string text = "given up by";
     for (const auto& [why, n] : refused_) text.append(" ").append(why).append(" ").append(std::to_string(n));
-    emit(LogLine{text});
+    emit(LogMessage{text});
     refused_.clear();
     refused_at_ = now_;
   }
 
   double mean_of(const ClassSettings& cls) const {
-    return means_[index(cls)] > 0 ? means_[index(cls)] : kIdleOfAim * double(cls.aim);
+    return means_[index(cls)] > 0 ? means_[index(cls)] : kIdleLatencyFraction * double(cls.latency_objective);
   }
   std::size_t index(const ClassSettings& cls) const {
     return &cls == &unknown_class_ ? settings_.classes.size() : std::size_t(&cls - settings_.classes.data());
@@ -327,28 +329,28 @@
   // Units tell a request's size where they vary within a class, from one to the largest. Danger: one that was
   // taken for next to no work would be looked at again every microsecond.
   double expected(const ClassSettings& cls, double units) const {
-    const double usual = units_[index(cls)], most = settings_.largest_units;
+    const double usual = units_[index(cls)], most = settings_.max_request_units;
     return mean_of(cls) * (usual > 0 && units > 0 ? std::clamp(units / usual, 1 / most, most) : 1.0);
   }
 
   // Rule 2: where may this request still go?
-  bool may_go(const Request& r, const Server& s) const {
+  bool may_go(const Request& r, const Endpoint& s) const {
     // So late it may reach the server.
-    const Micros late = settings_.dial_timeout + kHeldUp + 2 * settings_.tick;
+    const Micros late = settings_.connect_timeout + kHeldUp + 2 * settings_.tick;
     for (const Attempt& a : r.attempts) {
-      if (a.server == &s) return false;  // what failed there once may again
-      if (!a.may_have_run || r.cls->repeat == Repeat::kSafe) continue;
-      if (r.cls->repeat == Repeat::kUnsafe) return false;
+      if (a.endpoint == &s) return false;  // what failed there once may again
+      if (!a.may_have_run || r.cls->idempotency == Idempotency::kIdempotent) continue;
+      if (r.cls->idempotency == Idempotency::kNonIdempotent) return false;
       const bool same = r.cls->dedup_scope == DedupScope::kAll ||
-                        (r.cls->dedup_scope == DedupScope::kZone && s.entry.zone == a.server->entry.zone) ||
-                        (r.cls->dedup_scope == DedupScope::kCell && s.entry.cell == a.server->entry.cell);
+                        (r.cls->dedup_scope == DedupScope::kZone && s.entry.zone == a.endpoint->entry.zone) ||
+                        (r.cls->dedup_scope == DedupScope::kCell && s.entry.cell == a.endpoint->entry.cell);
       if (!same || now_ - a.sent >= r.cls->dedup_window - late) return false;
     }
     return true;
   }
   bool may_refuse(const Request& r) const {
-    if (r.cls->repeat == Repeat::kSafe) return true;
-    if (r.cls->repeat == Repeat::kKeyed && r.cls->dedup_scope == DedupScope::kAll) return true;
+    if (r.cls->idempotency == Idempotency::kIdempotent) return true;
+    if (r.cls->idempotency == Idempotency::kByKey && r.cls->dedup_scope == DedupScope::kAll) return true;
     return std::none_of(r.attempts.begin(), r.attempts.end(),
                         [](const Attempt& a) { return a.may_have_run; });
   }
@@ -356,26 +358,26 @@
   bool send(Request& r) {
     if (int(r.attempts.size()) >= settings_.max_attempts || r.give_up - now_ <= settings_.tick) return false;
     const bool again = !r.attempts.empty();
-    const double work = r.expected / kSecond;
-    Server* s =
-        servers_.choose(now_, work, mean_of(*r.cls), again, [&](const Server& to) { return may_go(r, to); });
+    const double work = r.expected / kMicrosPerSecond;
+    Endpoint* s = endpoints_.pick(now_, work, mean_of(*r.cls), again,
+                                  [&](const Endpoint& to) { return may_go(r, to); });
     if (!s) return false;
     if (!again) {
-      if (!ceiling_covers(now_, *r.customer, r.units)) return false;
-      if (r.customer->plan->ceiling_rate > 0) r.customer->ceiling -= r.units;
+      if (!hard_limit_allows(now_, *r.customer, r.units)) return false;
+      if (r.customer->plan->hard_limit_rate > 0) r.customer->hard_limit_tokens -= r.units;
       retries_ = std::min(kRetryBurst, retries_ + kRetryShare);
     }
-    if (!r.uploading) servers_.sent(now_, *s, work);
+    if (!r.body_pending) endpoints_.on_attempt_sent(now_, *s, work);
     r.attempts.push_back({s, now_});
     ++r.out;
-    ++r.customer->open;
-    emit(SendAttempt{r.id, s->entry.server, r.give_up - now_});
+    ++r.customer->attempts_in_flight;
+    emit(SendAttempt{r.id, s->entry.endpoint, r.give_up - now_});
     watch(r, int(r.attempts.size()) - 1, Micros(kDoubtAfter * r.expected));
     return true;
   }
 
   void watch(const Request& r, int attempt, Micros after) {
-    if (r.uploading || now_ + after >= r.give_up) return;
+    if (r.body_pending || now_ + after >= r.give_up) return;
     timers_[++timer_] = {r.id, RequestTimer::Purpose::kDoubtAttempt, attempt};
     emit(SetTimer{now_ + after, timer_});
   }
@@ -385,14 +387,15 @@
   void doubt(Request& r, int index) {
     Attempt& a = r.attempts[std::size_t(index)];
     if (!a.out || a.stalled) return;
-    const bool repeatable = r.cls->repeat == Repeat::kSafe || r.cls->repeat == Repeat::kKeyed;
+    const bool repeatable =
+        r.cls->idempotency == Idempotency::kIdempotent || r.cls->idempotency == Idempotency::kByKey;
     if (repeatable && retries_ >= 1) {
-      if (settings_.may_duplicate) {
+      if (settings_.allow_hedging) {
         // Danger: second copies under overload take the room of first ones.
-        if (r.out == 1 && servers_.pressure(now_) < kRelaxed && send(r)) retries_ -= 1;
+        if (r.out == 1 && endpoints_.utilization(now_) < kRelaxed && send(r)) retries_ -= 1;
         return;
       }
-      if (settings_.may_cancel && a.server->owing_since <= a.sent) {
+      if (settings_.allow_cancel && a.endpoint->busy_since <= a.sent) {
         retries_ -= 1;
         a.stalled = true;
         emit(CancelAttempt{r.id, index});
@@ -412,10 +415,13 @@
           std::max(kMeanGain, 1 / (kPriorSamples + ++n)) * (double(duration) - mean_of(*r.cls));
     const double mean = mean_of(*r.cls);
     // Danger: a gateway that stood still finds answers old; what they say they took counts, not the clock.
-    const double over_aim = double(duration) / double(std::max<Micros>(1, r.cls->aim)) * mean / r.expected;
-    if (servers_.ended(now_, *a.server, {o, double(duration) / r.expected, over_aim, mean, a.stalled, load}))
-      log("server", a.server->entry.server + " ejected: failures in a row");
-    if (settings_.settles_later && billed > 0 && !r.over) slices_.take(*r.customer, billed - r.units);
+    const double over_aim =
+        double(duration) / double(std::max<Micros>(1, r.cls->latency_objective)) * mean / r.expected;
+    if (endpoints_.on_attempt_ended(now_, *a.endpoint,
+                                    {o, double(duration) / r.expected, over_aim, mean, a.stalled, load}))
+      log("server", a.endpoint->entry.endpoint + " ejected: failures in a row");
+    if (settings_.settles_units_later && billed > 0 && !r.over)
+      slices_.consume(*r.customer, billed - r.units);
   }
 
   void on(const AttemptEnded& e) {
@@ -426,15 +432,17 @@
     if (!a.out) return;
     a.out = false;
     --r.out;
-    --r.customer->open;
+    --r.customer->attempts_in_flight;
     using O = Outcome;
-    a.may_have_run = !(e.outcome == O::kFull || e.outcome == O::kConnectFailed || e.outcome == O::kNotSent);
-    if (r.uploading) servers_.sent(now_, *a.server, 0);  // ended before its server was handed any work
-    if (!a.counted) count(r, a, e.outcome, e.duration, e.billed, e.load);
-    if (e.finished) finish(r);
+    a.may_have_run =
+        !(e.outcome == O::kOverloaded || e.outcome == O::kConnectFailed || e.outcome == O::kNotSent);
+    if (r.body_pending)
+      endpoints_.on_attempt_sent(now_, *a.endpoint, 0);  // ended before its server was handed any work
+    if (!a.counted) count(r, a, e.outcome, e.duration, e.billed_units, e.load);
+    if (e.request_finished) finish(r);
     if (!r.done && r.out == 0) {
       const bool cheap = !a.may_have_run || a.stalled;
-      const bool again = e.repeatable && (cheap || retries_ >= 1);
+      const bool again = e.replayable && (cheap || retries_ >= 1);
       if (again && send(r)) {
         if (!cheap) retries_ -= 1;
       } else if (again && !a.may_have_run && int(r.attempts.size()) < settings_.max_attempts) {
@@ -451,15 +459,15 @@
     if (r.done) return;
     ++refused_[r.attempts.empty() ? "servers full" : "attempts"];
     if (may_refuse(r))
-      emit(Refuse{r.id, Micros(mean_of(*r.cls))});
+      emit(RejectRequest{r.id, Micros(mean_of(*r.cls))});
     else
-      emit(Fail{r.id});
+      emit(FailRequest{r.id});
     finish(r);
   }
 
   void finish(Request& r) {
     r.done = true;
-    if (!settings_.may_cancel) return;
+    if (!settings_.allow_cancel) return;
     for (std::size_t i = 0; i < r.attempts.size(); ++i)
       if (r.attempts[i].out && !r.cls->streamed) emit(CancelAttempt{r.id, int(i)});
   }
@@ -477,7 +485,7 @@
     log("full", "servers are full; requests wait or are refused");
     timers_[++timer_] = {r.id, RequestTimer::Purpose::kEndHold};
     r.hold_until = std::min(r.give_up - std::max(settings_.tick, Micros(kNeed * r.expected)),
-                            r.arrived + Micros(kHoldShare * double(r.cls->aim)));
+                            r.arrived + Micros(kHoldShare * double(r.cls->latency_objective)));
     emit(SetTimer{r.hold_until, timer_});
   }
 
@@ -510,7 +518,7 @@
   const PlanSettings unknown_plan_{};
   const std::uint64_t seed_;
   QuotaSlices slices_;
-  ServerPool servers_;
+  EndpointPool endpoints_;
   std::vector<double> units_;                          // mean units by class
   std::vector<double> means_;                          // us; mean answer time by class
   std::vector<double> met_;                            // good answers by class
@@ -528,19 +536,21 @@
   bool handed_over_ = false;
 };
 
-Gateway::Gateway(Settings settings, std::uint64_t seed)
+DecisionEngine::DecisionEngine(Settings settings, std::uint64_t seed)
     : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
-Gateway::~Gateway() = default;
-Gateway::Gateway(Gateway&&) noexcept = default;
-Gateway& Gateway::operator=(Gateway&&) noexcept = default;
+DecisionEngine::~DecisionEngine() = default;
+DecisionEngine::DecisionEngine(DecisionEngine&&) noexcept = default;
+DecisionEngine& DecisionEngine::operator=(DecisionEngine&&) noexcept = default;
 
-Gateway::ServerCount Gateway::count_servers(Micros now) const { return impl_->count_servers(now); }
+DecisionEngine::EndpointCounts DecisionEngine::count_endpoints(Micros now) const {
+  return impl_->count_endpoints(now);
+}
 
-Handover Gateway::hand_over(Micros) { return impl_->hand_over(); }
-std::map<std::string, int> Gateway::open_attempts() const { return impl_->open_attempts(); }
+HotRestartState DecisionEngine::begin_hot_restart(Micros) { return impl_->begin_hot_restart(); }
+std::map<std::string, int> DecisionEngine::attempts_in_flight() const { return impl_->attempts_in_flight(); }
 
-void Gateway::handle(Micros now, const std::vector<Event>& events, std::vector<Action>& actions) {
+void DecisionEngine::handle(Micros now, const std::vector<Event>& events, std::vector<Action>& actions) {
   impl_->handle(now, events, actions);
 }
 
-}  // namespace cottonroad
+}  // namespace quota_gateway
--- a/src/policy/server_pool.cpp
+++ b/src/decision/endpoints/endpoint_pool.cpp
@@ -1,12 +1,12 @@
-#include "policy/server_pool.hpp"
+#include "decision/endpoints/endpoint_pool.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "policy/figures.hpp"
+#include "decision/field_serialization.hpp"
 
-namespace cottonroad::policy {
+namespace quota_gateway::decision {
 namespace {
 
 constexpr int kDraws = 2;                // servers compared for an attempt, and our part of them
@@ -43,8 +43,8 @@
 }  // namespace
 
 // ---- The list ---------------------------------------------------------------------------------------------
-Server& ServerPool::find(const std::string& name) {
-  const auto [it, fresh] = servers_.try_emplace(name);
+Endpoint& EndpointPool::find(const std::string& name) {
+  const auto [it, fresh] = endpoints_.try_emplace(name);
   if (fresh) {
     it->second.slot = sampler_.add_slot();
     slots_.push_back(&it->second);
@@ -52,27 +52,27 @@
   return it->second;
 }
 
-void ServerPool::update(Micros now, const ServerListUpdate& update) {
-  if (update.kind == ServerListUpdate::Kind::kError) return;
+void EndpointPool::update(Micros now, const EndpointListUpdate& update) {
+  if (update.kind == EndpointListUpdate::Kind::kError) return;
   if (began_ == 0) began_ = now;
   if (now - began_ > kFirstNews) knows_fleet_ = true;
-  if (update.kind != ServerListUpdate::Kind::kPartial) {
-    for (auto& [name, s] : servers_) {
+  if (update.kind != EndpointListUpdate::Kind::kPartial) {
+    for (auto& [name, s] : endpoints_) {
       s.listed = s.usable = false;
       refresh(now, s, 0);
     }
   }
-  for (const ServerEntry& e : update.entries) take_entry(now, e);
-  if (update.kind != ServerListUpdate::Kind::kPersisted) knows_fleet_ = true;
+  for (const EndpointEntry& e : update.entries) take_entry(now, e);
+  if (update.kind != EndpointListUpdate::Kind::kPersisted) knows_fleet_ = true;
   fruitless_until_ = 0;
 }
 
-void ServerPool::take_entry(Micros now, const ServerEntry& entry) {
-  Server& s = find(entry.server);
+void EndpointPool::take_entry(Micros now, const EndpointEntry& entry) {
+  Endpoint& s = find(entry.endpoint);
   const bool started = entry.started_at != s.entry.started_at;
   s.entry = entry;
-  s.listed = entry.state != ServerState::kRemoved;
-  s.usable = entry.state == ServerState::kUp;
+  s.listed = entry.state != EndpointState::kRemoved;
+  s.usable = entry.state == EndpointState::kUp;
   if (started || !s.told) start_cold(now, s);
   s.told = true;
   refresh(now, s, 0);
@@ -81,10 +81,10 @@
 // Danger: the wall clock may have been stepped since a server noted its start, here or there. A start of
 // which // we hear while we run has just been; only those from before us are dated by their note, unless it
 // lies far in the future.
-void ServerPool::start_cold(Micros now, Server& s) {
+void EndpointPool::start_cold(Micros now, Endpoint& s) {
   const bool before_us = !knows_fleet_;
   const Micros age = now + wall_offset_ - s.entry.started_at;
-  const bool dated = before_us && age >= -settings_.cold_time;
+  const bool dated = before_us && age >= -settings_.slow_start_duration;
   s.cold_from = s.entry.started_at <= 0 ? kWarm : std::max<Micros>(kWarm + 1, dated ? now - age : now);
   if (before_us) return;
   s.restarted_at = now;
@@ -96,8 +96,8 @@
   s.links = 0;
 }
 
-void ServerPool::update(Micros now, const ServerSwitched& event) {
-  Server& s = find(event.server);
+void EndpointPool::update(Micros now, const AdminStateChanged& event) {
+  Endpoint& s = find(event.endpoint);
   if (s.disabled == event.disabled) return;
   // Danger: it was restarted while it was out, and the list may tell of that seconds after it is back.
   const bool told = s.restarted_at > s.switched_at;
@@ -118,112 +118,114 @@
 
 // ---- What is known of a server ----------------------------------------------------------------------------
 // The least share of its full capacity that the server can have by now.
-double ServerPool::warmth(Micros now, const Server& s) const {
-  if (s.cold_from == kWarm || settings_.cold_time <= 0) return 1;
-  const double age = double(now - s.cold_from) / double(settings_.cold_time);
-  return std::clamp(settings_.cold_share + (1 - settings_.cold_share) * age, settings_.cold_share, 1.0);
+double EndpointPool::warmth(Micros now, const Endpoint& s) const {
+  if (s.cold_from == kWarm || settings_.slow_start_duration <= 0) return 1;
+  const double age = double(now - s.cold_from) / double(settings_.slow_start_duration);
+  return std::clamp(settings_.slow_start_min_capacity + (1 - settings_.slow_start_min_capacity) * age,
+                    settings_.slow_start_min_capacity, 1.0);
 }
 
 // How slow a server is against its peers, by its answers and by what it still owes.
-double ServerPool::slowness(Micros now, const Server& s, double mean) const {
+double EndpointPool::slowness(Micros now, const Endpoint& s, double mean) const {
   double r = 1;
   if (s.ratio_weight > 0) {
-    const double keep = fade(now - s.ratio_at, kLatencyMemory);
+    const double keep = exponential_decay(now - s.ratio_at, kLatencyMemory);
     r = (s.ratio_sum * keep + kPriorSamples) / (s.ratio_weight * keep + kPriorSamples);
   }
   if (s.out == 0 || mean <= 0) return r;
-  return std::max(r, double(now - s.owing_since) / (kAgeDoubt * mean));
+  return std::max(r, double(now - s.busy_since) / (kAgeDoubt * mean));
 }
 
-double ServerPool::speed(Micros now, const Server& s, double mean) const {
+double EndpointPool::speed(Micros now, const Endpoint& s, double mean) const {
   return weight(s) * warmth(now, s) / slowness(now, s, mean);
 }
 
 // Brings what the sampler holds of a server up to date, and the counts of open and ejected ones.
-void ServerPool::refresh(Micros now, Server& s, double mean) {
+void EndpointPool::refresh(Micros now, Endpoint& s, double mean) {
   const bool ejected = s.ejected_until > now;
   sampler_.set(s.slot, s.open() && !ejected ? speed(now, s, mean) : 0);
   open_ += int(s.open()) - int(std::exchange(s.counted_open, s.open()));
 }
 
-void ServerPool::refresh_ejected(Micros now, double mean) {
-  const auto over = [&](Server* s) {
+void EndpointPool::refresh_ejected(Micros now, double mean) {
+  const auto over = [&](Endpoint* s) {
     if (s->ejected_until > now) return false;
     refresh(now, *s, mean);
     return true;
   };
   ejected_.erase(std::remove_if(ejected_.begin(), ejected_.end(), over), ejected_.end());
-  ejected_open_ = int(std::count_if(ejected_.begin(), ejected_.end(), [](Server* s) { return s->open(); }));
+  ejected_open_ = int(std::count_if(ejected_.begin(), ejected_.end(), [](Endpoint* s) { return s->open(); }));
 }
 
 // ---- Slow start -------------------------------------------------------------------------------------------
 // Of the span between two of our calls to a cold server, the part that we wait with the first one that other
 // servers could not take. Danger: where each gateway's part is less than one call, hundreds that turn to a
 // cold server at once would each make one. The gateways take turns, by an order that all of them know.
-double ServerPool::first_cold_send_after(const Server& s) const {
-  const auto gateways = std::uint64_t(settings_.gateways);
-  const std::uint64_t first = hash_text(s.entry.server) % gateways;
-  const std::uint64_t turn = (std::uint64_t(settings_.position) + gateways - first) % gateways;
+double EndpointPool::first_cold_send_after(const Endpoint& s) const {
+  const auto gateways = std::uint64_t(settings_.gateway_count);
+  const std::uint64_t first = hash_text(s.entry.endpoint) % gateways;
+  const std::uint64_t turn = (std::uint64_t(settings_.gateway_index) + gateways - first) % gateways;
   return std::max(0.0, double(turn) + 1 - kAlwaysBorne) / double(gateways);
 }
 
 // Danger: a cold server sent too much falls over for good. Over any window we stay within our own part of
 // what it can bear, taking what we send a warm peer for our part of a warm server's load.
-bool ServerPool::cold_covers(Micros now, Server& s, double work, bool diverted) {
+bool EndpointPool::cold_covers(Micros now, Endpoint& s, double work, bool diverted) {
   const double warm = warmth(now, s);
   if (warm >= 1) return true;
   // Where our part is less than one request, requests are so much further apart; with nothing observed yet,
   // so far that all gateways together send one a window.
-  const double window = double(settings_.cold_window), n = settings_.gateways;
-  const double budget =
-      kColdSafety * settings_.cold_multiple * warm * peer_rate_ * weight(s) * window / kSecond;
+  const double window = double(settings_.slow_start_window), n = settings_.gateway_count;
+  const double budget = kColdSafety * settings_.slow_start_overload_factor * warm * peer_rate_ * weight(s) *
+                        window / kMicrosPerSecond;
   const double span = window * std::clamp(work / std::max(budget, 1e-9), 1.0, n);
   const auto recent = std::find_if(s.cold_sends.begin(), s.cold_sends.end(),
-                                   [&](const ColdSend& send) { return double(now - send.at) < span; });
+                                   [&](const SlowStartSend& send) { return double(now - send.at) < span; });
   s.cold_sends.erase(s.cold_sends.begin(), recent);
   if (s.cold_sends.empty())
     return work <= budget || !diverted || double(now - s.cold_from) >= span * first_cold_send_after(s);
   double spent = 0;
-  for (const ColdSend& send : s.cold_sends) spent += send.work;
+  for (const SlowStartSend& send : s.cold_sends) spent += send.work;
   return spent + work <= budget;
 }
 
 // ---- Choice -----------------------------------------------------------------------------------------------
-bool ServerPool::is_eligible(Micros now, Server& s, double speed, const Search& search) {
+bool EndpointPool::is_eligible(Micros now, Endpoint& s, double speed, const Search& search) {
   if (s.on_trial && s.out > 0) return false;
   const double part = kUneven * even_part() * speed / std::max(search.total_speed, 1e-9);
   if (s.out >= std::max(1.0, std::round(part))) return false;
   return cold_covers(now, s, search.work, search.diverted);
 }
 
-ServerPool::Candidate ServerPool::candidate(Micros now, Server& s, double speed) const {
-  const double others = s.others > 0 ? s.others * fade(now - s.report_at, kReportMemory) : 0;
+EndpointPool::Candidate EndpointPool::candidate(Micros now, Endpoint& s, double speed) const {
+  const double others = s.others > 0 ? s.others * exponential_decay(now - s.report_at, kReportMemory) : 0;
   double cost = (s.out + others + 1) / speed;
   if (s.entry.zone != settings_.zone) cost *= kZoneBias;
   // Danger: each of many gateways has little to send, and on new connections everywhere it pays a handshake a
   // request.
   const bool linked = s.links > 0 && now - s.link_at <= kLinked;
-  if (settings_.gateways >= kManyGateways && !linked) cost *= kLinkBias;
+  if (settings_.gateway_count >= kManyGateways && !linked) cost *= kLinkBias;
   return {&s, cost};
 }
 
 // Danger: gateways that see little of what servers hold all pick the one that looks best, and the slower ones
 // lie idle. A few are drawn by speed, the fewer the less of the load is our own; the best of those.
-std::size_t ServerPool::wanted_candidates() const {
-  const bool unseen = settings_.gateways >= kManyGateways && !reported_;
-  return std::size_t(kDraws + (open_ - ejected_open_) / settings_.gateways + (unseen ? kUnseenDraws : 0));
+std::size_t EndpointPool::wanted_candidates() const {
+  const bool unseen = settings_.gateway_count >= kManyGateways && !reported_;
+  return std::size_t(kDraws + (open_ - ejected_open_) / settings_.gateway_count +
+                     (unseen ? kUnseenDraws : 0));
 }
 
 // Draws by speed, each server once. Danger: a look at every server for each attempt costs a gateway among
 // thousands of them more than the requests do.
-std::vector<ServerPool::Candidate> ServerPool::draw(Micros now, Search& search, const Filter& allowed) {
+std::vector<EndpointPool::Candidate> EndpointPool::draw(Micros now, Search& search, const Filter& allowed) {
   std::vector<Candidate> found;
-  std::vector<std::pair<Server*, double>> drawn;  // with their speeds; none is drawn twice
+  std::vector<std::pair<Endpoint*, double>> drawn;  // with their speeds; none is drawn twice
   const std::size_t wanted = wanted_candidates(), tries = std::max(kMostTries, 2 * wanted);
   while (found.size() < wanted && drawn.size() < tries) {
     const double total = sampler_.total();
     if (total <= 1e-9 * search.total_speed) break;
-    Server& s = *slots_[sampler_.find(random_.uniform() * total)];
+    Endpoint& s = *slots_[sampler_.find(random_.uniform() * total)];
     if (sampler_.weight(s.slot) <= 0) break;  // rounding has left no more than this
     const double now_speed = speed(now, s, search.mean);
     // The speeds are as old as the last look; one that has slowed down since is drawn so much less.
@@ -243,11 +245,11 @@
 }
 
 // All servers, for an attempt that only a few of them may get.
-std::vector<ServerPool::Candidate> ServerPool::search_all(Micros now, const Search& search,
-                                                          const Filter& allowed) {
+std::vector<EndpointPool::Candidate> EndpointPool::search_all(Micros now, const Search& search,
+                                                              const Filter& allowed) {
   std::vector<Candidate> found;
-  std::vector<std::pair<double, Server*>> order;
-  for (Server* s : slots_) {
+  std::vector<std::pair<double, Endpoint*>> order;
+  for (Endpoint* s : slots_) {
     if (!s->open() || s->ejected_until > now || !allowed(*s)) continue;
     const double now_speed = speed(now, *s, search.mean);
     if (is_eligible(now, *s, now_speed, search))
@@ -259,10 +261,10 @@
   return found;
 }
 
-std::vector<ServerPool::Candidate> ServerPool::search_ejected(Micros now, const Search& search,
-                                                              const Filter& allowed) {
+std::vector<EndpointPool::Candidate> EndpointPool::search_ejected(Micros now, const Search& search,
+                                                                  const Filter& allowed) {
   std::vector<Candidate> found;
-  for (Server* s : ejected_) {
+  for (Endpoint* s : ejected_) {
     if (!s->open() || !allowed(*s)) continue;
     const double now_speed = speed(now, *s, search.mean);
     if (is_eligible(now, *s, now_speed, search)) found.push_back(candidate(now, *s, now_speed));
@@ -272,19 +274,19 @@
 
 // Danger: a cold server looks slow beside any warm one, and next to nobody has a connection to it. Where each
 // gateway sends little, a comparison leaves it idle; the first draw, by speed, decides between them.
-Server* ServerPool::best_of(Micros now, const std::vector<Candidate>& candidates) const {
+Endpoint* EndpointPool::best_of(Micros now, const std::vector<Candidate>& candidates) const {
   if (candidates.empty()) return nullptr;
-  const bool many = settings_.gateways >= kManyGateways;
-  const bool cold = warmth(now, *candidates.front().server) < 1;
+  const bool many = settings_.gateway_count >= kManyGateways;
+  const bool cold = warmth(now, *candidates.front().endpoint) < 1;
   const Candidate* best = nullptr;
   for (const Candidate& c : candidates) {
-    if (many && (warmth(now, *c.server) < 1) != cold) continue;
+    if (many && (warmth(now, *c.endpoint) < 1) != cold) continue;
     if (!best || c.cost < best->cost) best = &c;
   }
-  return best->server;
+  return best->endpoint;
 }
 
-Server* ServerPool::choose(Micros now, double work, double mean, bool restricted, const Filter& allowed) {
+Endpoint* EndpointPool::pick(Micros now, double work, double mean, bool restricted, const Filter& allowed) {
   refresh_ejected(now, mean);
   if (!has_room(now)) return nullptr;
   if (!restricted && now < fruitless_until_) return nullptr;
@@ -298,16 +300,16 @@
   return best_of(now, candidates);
 }
 
-void ServerPool::sent(Micros now, Server& s, double work) {
+void EndpointPool::on_attempt_sent(Micros now, Endpoint& s, double work) {
   settle_room(now);
-  if (++s.out == 1) s.owing_since = now;
+  if (++s.out == 1) s.busy_since = now;
   s.links = now - s.link_at > kLinked ? 0 : std::max(0, s.links - 1);
   ++out_;
   s.carried += work;
   if (warmth(now, s) < 1) s.cold_sends.push_back({now, work});
 }
 
-bool ServerPool::ended(Micros now, Server& s, const AttemptReport& report) {
+bool EndpointPool::on_attempt_ended(Micros now, Endpoint& s, const AttemptReport& report) {
   settle_room(now);
   fruitless_until_ = 0;
   --s.out;
@@ -319,9 +321,9 @@
     s.link_at = now;
   }
   if (answered || error || timeout || report.stalled) {
-    const double keep = s.ratio_weight > 0 ? fade(now - s.ratio_at, kLatencyMemory) : 0;
+    const double keep = s.ratio_weight > 0 ? exponential_decay(now - s.ratio_at, kLatencyMemory) : 0;
     // Danger: a server that fails all it gets answers fastest; taken for quick, it would draw the whole load.
-    s.ratio_sum = s.ratio_sum * keep + (error ? kErrorRatio : report.ratio);
+    s.ratio_sum = s.ratio_sum * keep + (error ? kErrorRatio : report.time_over_expected);
     s.ratio_weight = s.ratio_weight * keep + 1;
     s.ratio_at = now;
   }
@@ -331,7 +333,7 @@
     s.report_at = now;
     reported_ = true;
   }
-  if (answered || error) s.owing_since = now;
+  if (answered || error) s.busy_since = now;
   if (answered) {
     s.failures = 0;
     s.on_trial = false;
@@ -354,10 +356,10 @@
 }
 
 // ---- Once a period ----------------------------------------------------------------------------------------
-void ServerPool::look(Micros now) {
+void EndpointPool::on_period(Micros now) {
   double work = 0, weights = 0;
   std::vector<double> speeds(slots_.size());
-  for (Server* s : slots_) {
+  for (Endpoint* s : slots_) {
     const bool in_use = s->open() && s->ejected_until <= now;
     if (in_use && warmth(now, *s) >= 1) {
       work += s->carried;
@@ -367,76 +369,78 @@
     if (in_use) speeds[s->slot] = speed(now, *s, 0);
   }
   sampler_.assign(std::move(speeds));
-  if (weights > 0) peer_rate_ += kPeerRateGain * (work / weights / (kPeriod / kSecond) - peer_rate_);
+  if (weights > 0) peer_rate_ += kPeerRateGain * (work / weights / (kPeriod / kMicrosPerSecond) - peer_rate_);
 }
 
-Gateway::ServerCount ServerPool::count(Micros now) const {
-  Gateway::ServerCount out;
-  for (const auto& [name, s] : servers_) {
+DecisionEngine::EndpointCounts EndpointPool::count(Micros now) const {
+  DecisionEngine::EndpointCounts out;
+  for (const auto& [name, s] : endpoints_) {
     out.listed += s.listed;
-    out.skipped += s.listed && (s.disabled || s.ejected_until > now);
+    out.excluded += s.listed && (s.disabled || s.ejected_until > now);
   }
   return out;
 }
 
-void ServerPool::save(Handover& out) {
-  for (auto& [name, s] : servers_) {
-    auto& figures = out.servers[name] = save_figures(s);
-    for (const ColdSend& send : s.cold_sends) figures.insert(figures.end(), {double(send.at), send.work});
+void EndpointPool::save_state(HotRestartState& out) {
+  for (auto& [name, s] : endpoints_) {
+    auto& figures = out.endpoints[name] = serialize_fields(s);
+    for (const SlowStartSend& send : s.cold_sends)
+      figures.insert(figures.end(), {double(send.at), send.work});
   }
 }
 
-void ServerPool::load(const std::string& name, const Handover::Figures& figures) {
-  Server& s = find(name);
-  const std::size_t size = save_figures(s).size();
+void EndpointPool::restore_endpoint(const std::string& name, const HotRestartState::Values& figures) {
+  Endpoint& s = find(name);
+  const std::size_t size = serialize_fields(s).size();
   if (figures.size() < size || (figures.size() - size) % 2 != 0) return;
   const auto sends = figures.begin() + std::ptrdiff_t(size);
-  load_figures(s, {figures.begin(), sends});
+  deserialize_fields(s, {figures.begin(), sends});
   for (auto it = sends; it != figures.end(); it += 2) s.cold_sends.push_back({Micros(*it), it[1]});
   if (s.ejected_until > 0) ejected_.push_back(&s);
 }
 
 // ---- How many attempts may be out -------------------------------------------------------------------------
-double ServerPool::even_part() const {
+double EndpointPool::even_part() const {
   const int in_use = open_ - ejected_open_;
-  return std::max(limit_, kLeastInFlight * std::max(in_use, 1) / settings_.gateways);
+  return std::max(limit_, kLeastInFlight * std::max(in_use, 1) / settings_.gateway_count);
 }
 
-double ServerPool::pressure(Micros now) {
+double EndpointPool::utilization(Micros now) {
   settle_room(now);
   return 0.5 - 0.5 * room_ / even_part();
 }
 
 // Danger: with more gateways than servers an even part is less than one. More go out when demand by chance
 // asks for it, and are paid for out of the room that was left in the last second.
-bool ServerPool::has_room(Micros now) {
+bool EndpointPool::has_room(Micros now) {
   settle_room(now);
   return room_ > 0 && out_ < 1 + even_part() + kSpread * std::sqrt(even_part());
 }
 
-void ServerPool::settle_room(Micros now) {
-  room_ =
-      std::clamp(room_ + (even_part() - out_) * double(now - room_at_) / kSecond, -even_part(), even_part());
+void EndpointPool::settle_room(Micros now) {
+  room_ = std::clamp(room_ + (even_part() - out_) * double(now - room_at_) / kMicrosPerSecond, -even_part(),
+                     even_part());
   room_at_ = now;
 }
 
 // Danger: servers that hold too much lose speed, answers come late, work is wasted and the jam feeds itself.
 // What all our attempts take, against what they took when servers were idle, bounds how many may be out. A
 // slow single server is not the fleet's: it is left to `slowness`.
-void ServerPool::adapt_limit(Micros now, const AttemptReport& report, bool timed) {
+void EndpointPool::adapt_limit(Micros now, const AttemptReport& report, bool timed) {
   // Danger: one of a hundred gateways learns the idle time only after many seconds, and its limit would grow
   // all the while, however late the answers.
-  const double idle = base_ > 0 ? base_ : kIdleOfAim;
+  const double idle = base_ > 0 ? base_ : kIdleLatencyFraction;
   if (timed) {
     // Danger: a few attempts lost or far heavier than the rest are no sign of a full fleet.
-    const double over_aim = std::min(report.over_aim, kOutlier * idle);
-    norm_ += kNormGain * (over_aim - norm_);
-    slow_norm_ += std::max(kIdleGain, 1.0 / ++answers_) * (over_aim - slow_norm_);
+    const double time_over_objective = std::min(report.time_over_objective, kOutlier * idle);
+    norm_ += kNormGain * (time_over_objective - norm_);
+    slow_norm_ += std::max(kIdleGain, 1.0 / ++answers_) * (time_over_objective - slow_norm_);
     // Danger: the first answers are the fastest; an idle time from them alone is too short.
     if (answers_ > 1 / kIdleGain)
       base_ = base_ <= 0 ? slow_norm_ : std::min(slow_norm_, base_ + kBaseGain * (slow_norm_ - base_));
   }
-  if (report.outcome == Outcome::kFull) return;  // danger: one server, or one plan there, is not the fleet
+  if (report.outcome == Outcome::kOverloaded)
+    return;  // danger: one server, or one plan there, is not the fleet
   if (norm_ <= kBusy * idle) {
     if (timed && room_ < 0.5 * even_part()) limit_ = even_part() + kGrow;
   } else if (double(now - cut_at_) > report.mean_time) {
@@ -445,4 +449,4 @@
   }
 }
 
-}  // namespace cottonroad::policy
+}  // namespace quota_gateway::decision
--- a/src/policy/server_pool.hpp
+++ b/src/decision/endpoints/endpoint_pool.hpp
@@ -9,15 +9,15 @@
 #include <string>
 #include <vector>
 
-#include "cottonroad/gateway.hpp"
-#include "policy/estimates.hpp"
-#include "policy/numbers.hpp"
-#include "policy/weighted_sampler.hpp"
+#include "decision/endpoints/weighted_sampler.hpp"
+#include "decision/latency_estimates.hpp"
+#include "decision/numeric.hpp"
+#include "quota_gateway/decision_engine.hpp"
 
-namespace cottonroad::policy {
+namespace quota_gateway::decision {
 
 // Work handed to a server in slow start.
-struct ColdSend {
+struct SlowStartSend {
   Micros at = 0;
   double work = 0;  // seconds
 };
@@ -25,8 +25,8 @@
 // In place of the instant from which a server's slow start is counted: it has none.
 constexpr Micros kWarm = 0;
 
-struct Server {
-  ServerEntry entry;
+struct Endpoint {
+  EndpointEntry entry;
   std::size_t slot = 0;  // in the sampler
   bool told = false;     // the list has named it
   bool listed = false;
@@ -36,7 +36,7 @@
   Micros restarted_at = 0;                 // when we were told of its last start; 0: it ran before us
   Micros cold_from = kWarm;                // slow start is counted from then
   int out = 0;                             // our attempts there
-  Micros owing_since = 0;                  // an answer: when we last had one, or sent with nothing out
+  Micros busy_since = 0;                   // an answer: when we last had one, or sent with nothing out
   double ratio_sum = 0, ratio_weight = 0;  // answers' times over their class's mean, fading
   Micros ratio_at = 0;
   double others = 0;  // attempts of other gateways there, as last reported
@@ -45,15 +45,15 @@
   Micros link_at = 0;
   int failures = 0;  // in a row
   Micros ejected_until = 0;
-  bool counted_open = false;         // by the pool
-  bool on_trial = false;             // ejected and not yet answered since
-  std::vector<ColdSend> cold_sends;  // in the cold window
-  double carried = 0;                // work sent since the last look
+  bool counted_open = false;              // by the pool
+  bool on_trial = false;                  // ejected and not yet answered since
+  std::vector<SlowStartSend> cold_sends;  // in the cold window
+  double carried = 0;                     // work sent since the last look
 
-  bool open() const { return usable && !disabled; }
+  [[nodiscard]] bool open() const { return usable && !disabled; }
   template <typename F>
-  void figures(F f) {
-    f(switched_at), f(restarted_at), f(cold_from), f(owing_since), f(ratio_sum), f(ratio_weight), f(ratio_at),
+  void visit_fields(F f) {
+    f(switched_at), f(restarted_at), f(cold_from), f(busy_since), f(ratio_sum), f(ratio_weight), f(ratio_at),
         f(failures);
     f(ejected_until), f(on_trial), f(carried);
   }
@@ -62,43 +62,43 @@
 // What an attempt that has ended tells of its server.
 struct AttemptReport {
   Outcome outcome = Outcome::kOk;
-  double ratio = 0;      // its time over what was expected of it
-  double over_aim = 0;   // its time over its class's aim
-  double mean_time = 0;  // us; of its class
-  bool stalled = false;  // taken back by us, since its server had stopped answering
+  double time_over_expected = 0;   // its time over what was expected of it
+  double time_over_objective = 0;  // its time over its class's aim
+  double mean_time = 0;            // us; of its class
+  bool stalled = false;            // taken back by us, since its server had stopped answering
   LoadReport load;
 };
 
-class ServerPool {
+class EndpointPool {
  public:
-  using Filter = std::function<bool(const Server&)>;
+  using Filter = std::function<bool(const Endpoint&)>;
 
-  ServerPool(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
+  EndpointPool(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
 
-  void update(Micros now, const ServerListUpdate& update);
-  void update(Micros now, const ServerSwitched& event);
+  void update(Micros now, const EndpointListUpdate& update);
+  void update(Micros now, const AdminStateChanged& event);
   // The wall clock, by which servers tell when they started, is `offset` ahead of the time told here.
   void set_wall_offset(Micros offset) { wall_offset_ = offset; }
 
   // The server where an attempt of so much work (seconds) should end soonest, or none with room. `mean` is
   // the class's mean answer time; `restricted` says that `allowed` leaves out more than a few servers.
-  Server* choose(Micros now, double work, double mean, bool restricted, const Filter& allowed);
-  void sent(Micros now, Server& server, double work);
+  Endpoint* pick(Micros now, double work, double mean, bool restricted, const Filter& allowed);
+  void on_attempt_sent(Micros now, Endpoint& server, double work);
   // True if the server is ejected for it.
-  bool ended(Micros now, Server& server, const AttemptReport& report);
+  bool on_attempt_ended(Micros now, Endpoint& server, const AttemptReport& report);
 
   // Once a period: what a warm server of weight one was sent a second, for the cold servers' budgets; and the
   // speeds by which servers are drawn.
-  void look(Micros now);
+  void on_period(Micros now);
   // How much of the room for attempts is taken, from 0 to 1.
-  double pressure(Micros now);
-  Gateway::ServerCount count(Micros now) const;
+  double utilization(Micros now);
+  [[nodiscard]] DecisionEngine::EndpointCounts count(Micros now) const;
 
   // A server's figures, and after them what it was sent while cold.
-  void save(Handover& out);
-  void load(const std::string& name, const Handover::Figures& figures);
+  void save_state(HotRestartState& out);
+  void restore_endpoint(const std::string& name, const HotRestartState::Values& figures);
   template <typename F>
-  void figures(F f) {
+  void visit_fields(F f) {
     f(limit_), f(norm_), f(slow_norm_), f(base_), f(answers_), f(cut_at_), f(peer_rate_);
   }
 
@@ -111,48 +111,48 @@
     bool diverted = false;   // from a server that it tried before, or that it would have gone to by chance
   };
   struct Candidate {
-    Server* server = nullptr;
+    Endpoint* endpoint = nullptr;
     double cost = 0;
   };
 
-  Server& find(const std::string& name);
-  void take_entry(Micros now, const ServerEntry& entry);
-  void start_cold(Micros now, Server& server);
-  void refresh(Micros now, Server& server, double mean);
+  Endpoint& find(const std::string& name);
+  void take_entry(Micros now, const EndpointEntry& entry);
+  void start_cold(Micros now, Endpoint& server);
+  void refresh(Micros now, Endpoint& server, double mean);
   void refresh_ejected(Micros now, double mean);
 
-  double weight(const Server& s) const { return s.entry.weight > 0 ? s.entry.weight : 1; }
-  double warmth(Micros now, const Server& s) const;
-  double slowness(Micros now, const Server& s, double mean) const;
-  double speed(Micros now, const Server& s, double mean) const;
-  double first_cold_send_after(const Server& s) const;
-  bool cold_covers(Micros now, Server& s, double work, bool diverted);
-  bool is_eligible(Micros now, Server& s, double speed, const Search& search);
-  Candidate candidate(Micros now, Server& s, double speed) const;
+  [[nodiscard]] double weight(const Endpoint& s) const { return s.entry.weight > 0 ? s.entry.weight : 1; }
+  [[nodiscard]] double warmth(Micros now, const Endpoint& s) const;
+  [[nodiscard]] double slowness(Micros now, const Endpoint& s, double mean) const;
+  [[nodiscard]] double speed(Micros now, const Endpoint& s, double mean) const;
+  [[nodiscard]] double first_cold_send_after(const Endpoint& s) const;
+  bool cold_covers(Micros now, Endpoint& s, double work, bool diverted);
+  bool is_eligible(Micros now, Endpoint& s, double speed, const Search& search);
+  Candidate candidate(Micros now, Endpoint& s, double speed) const;
 
-  std::size_t wanted_candidates() const;
+  [[nodiscard]] std::size_t wanted_candidates() const;
   std::vector<Candidate> draw(Micros now, Search& search, const Filter& allowed);
   std::vector<Candidate> search_all(Micros now, const Search& search, const Filter& allowed);
   std::vector<Candidate> search_ejected(Micros now, const Search& search, const Filter& allowed);
-  Server* best_of(Micros now, const std::vector<Candidate>& candidates) const;
+  [[nodiscard]] Endpoint* best_of(Micros now, const std::vector<Candidate>& candidates) const;
 
-  double even_part() const;
+  [[nodiscard]] double even_part() const;
   bool has_room(Micros now);
   void settle_room(Micros now);
   void adapt_limit(Micros now, const AttemptReport& report, bool timed);
 
   const Settings& settings_;
   Random random_;
-  std::map<std::string, Server> servers_;
-  std::vector<Server*> slots_;
-  WeightedSampler sampler_;       // speeds of the open servers that are not ejected
-  std::vector<Server*> ejected_;  // may hold some whose time is over
+  std::map<std::string, Endpoint> endpoints_;
+  std::vector<Endpoint*> slots_;
+  WeightedSampler sampler_;         // speeds of the open servers that are not ejected
+  std::vector<Endpoint*> ejected_;  // may hold some whose time is over
   Micros wall_offset_ = 0;
   bool knows_fleet_ = false;  // the list has told more than what was known at the start
   Micros began_ = 0;
   int open_ = 0, ejected_open_ = 0;
   Micros fruitless_until_ = 0;  // no server had room for an unrestricted attempt; not searched again before
-  double limit_ = 0, norm_ = kIdleOfAim, slow_norm_ = 0, base_ = 0;
+  double limit_ = 0, norm_ = kIdleLatencyFraction, slow_norm_ = 0, base_ = 0;
   int answers_ = 0;
   Micros cut_at_ = 0;
   double peer_rate_ = 0;
@@ -162,4 +162,4 @@
   Micros room_at_ = 0;
 };
 
-}  // namespace cottonroad::policy
+}  // namespace quota_gateway::decision
--- a/src/policy/weighted_sampler.cpp
+++ b/src/decision/endpoints/weighted_sampler.cpp
@@ -1,8 +1,8 @@
-#include "policy/weighted_sampler.hpp"
+#include "decision/endpoints/weighted_sampler.hpp"
 
 #include <utility>
 
-namespace cottonroad::policy {
+namespace quota_gateway::decision {
 namespace {
 
 std::size_t lowest_bit(std::size_t i) { return i & (~i + 1); }
@@ -47,4 +47,4 @@
   return found < tree_.size() ? found : tree_.size() - 1;
 }
 
-}  // namespace cottonroad::policy
+}  // namespace quota_gateway::decision
--- a/src/policy/weighted_sampler.hpp
+++ b/src/decision/endpoints/weighted_sampler.hpp
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <vector>
 
-namespace cottonroad::policy {
+namespace quota_gateway::decision {
 
 class WeightedSampler {
  public:
@@ -13,16 +13,16 @@
   void set(std::size_t slot, double weight);
   // Weights of all slots at once, in linear time; also clears what rounding has left behind.
   void assign(std::vector<double> weights);
-  double weight(std::size_t slot) const { return weights_[slot]; }
-  double total() const { return prefix(weights_.size()); }
+  [[nodiscard]] double weight(std::size_t slot) const { return weights_[slot]; }
+  [[nodiscard]] double total() const { return prefix(weights_.size()); }
   // The slot on which `point` falls, for a point from 0 up to, and without, total().
-  std::size_t find(double point) const;
+  [[nodiscard]] std::size_t find(double point) const;
 
  private:
-  double prefix(std::size_t count) const;
+  [[nodiscard]] double prefix(std::size_t count) const;
 
   std::vector<double> weights_;
   std::vector<double> tree_;  // tree_[i - 1] sums the weights of the (i & -i) slots that end at i
 };
 
-}  // namespace cottonroad::policy
+}  // namespace quota_gateway::decision
--- a/src/policy/quota_slices.hpp
+++ b/src/decision/quota/quota_slices.hpp
@@ -12,11 +12,11 @@
 #include <utility>
 #include <vector>
 
-#include "cottonroad/gateway.hpp"
-#include "policy/figures.hpp"
-#include "policy/numbers.hpp"
+#include "decision/field_serialization.hpp"
+#include "decision/numeric.hpp"
+#include "quota_gateway/decision_engine.hpp"
 
-namespace cottonroad::policy {
+namespace quota_gateway::decision {
 
 constexpr double kMaxHorizon = 5;  // s; longest smoothing of demand, even for a deep burst
 constexpr double kEpoch = 10;      // memories of demand that a counter name serves; amounts grow by e in each
@@ -41,7 +41,7 @@
 constexpr double kAdviseShare = 0.33;  // of the aim: longest retry-after, so that a retry still ends in time
 
 // A gateway's part of a customer's quota, by its share of the customer's measured demand.
-struct Customer {
+struct CustomerQuota {
   const PlanSettings* plan = nullptr;
   std::uint64_t key = 0;
   int set_size = 1;
@@ -56,25 +56,25 @@
   double uncounted = 0;  // units asked here that no call has carried yet, fading
   int asks = 0;          // requests that they came in
   Micros called_at = 0;
-  Micros read_at = 0;                  // last believed total; 0: none
-  std::int64_t epoch = 0;              // of the counter name in use
-  std::int64_t distrusted_epoch = -1;  // and those before it, since the wall clock was stepped
-  Micros counts_from = 0;              // what its total tells: demand since then
-  double before = 0;                   // units a second asked elsewhere up to then
-  double added = 0;                    // units that our own calls have added to it, fading
-  int calling = 0;                     // calls on their way
-  std::vector<std::string> waiting;    // requests that wait for the first total
-  double ceiling = 0;                  // units left of our even part of the ceiling
-  Micros ceiling_at = 0;
-  int open = 0;       // attempts out
-  int elsewhere = 0;  // attempts that the process before this one still has out
+  Micros read_at = 0;                                // last believed total; 0: none
+  std::int64_t epoch = 0;                            // of the counter name in use
+  std::int64_t distrusted_epoch = -1;                // and those before it, since the wall clock was stepped
+  Micros counts_from = 0;                            // what its total tells: demand since then
+  double before = 0;                                 // units a second asked elsewhere up to then
+  double added = 0;                                  // units that our own calls have added to it, fading
+  int calling = 0;                                   // calls on their way
+  std::vector<std::string> requests_awaiting_total;  // requests that wait for the first total
+  double hard_limit_tokens = 0;                      // units left of our even part of the ceiling
+  Micros hard_limit_updated_at = 0;
+  int attempts_in_flight = 0;    // attempts out
+  int predecessor_attempts = 0;  // attempts that the process before this one still has out
 
   template <typename F>
-  void figures(F f) {
+  void visit_fields(F f) {
     f(set_size), f(place), f(rate), f(last_use), f(at), f(own), f(others), f(whole), f(store), f(uncounted);
-    f(asks), f(called_at), f(read_at), f(epoch), f(counts_from), f(before), f(added), f(ceiling);
-    f(ceiling_at);
-    f(elsewhere);
+    f(asks), f(called_at), f(read_at), f(epoch), f(counts_from), f(before), f(added), f(hard_limit_tokens);
+    f(hard_limit_updated_at);
+    f(predecessor_attempts);
   }
 };
 
@@ -82,23 +82,26 @@
  public:
   QuotaSlices(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
 
-  Customer& find(Micros now, const RequestArrived& r, const PlanSettings& plan) {
-    Customer& c = customers_[r.customer];
+  CustomerQuota& find_or_create(Micros now, const RequestArrived& r, const PlanSettings& plan) {
+    CustomerQuota& c = customers_[r.customer];
     if (born_ == 0) born_ = now - settings_.tick;
-    c.set_size = r.set_size > 0 ? std::min(r.set_size, settings_.gateways) : settings_.gateways;
-    c.place =
-        (settings_.position - r.first_gateway % settings_.gateways + settings_.gateways) % settings_.gateways;
+    c.set_size = r.gateway_set_size > 0 ? std::min(r.gateway_set_size, settings_.gateway_count)
+                                        : settings_.gateway_count;
+    c.place = (settings_.gateway_index - r.first_gateway_index % settings_.gateway_count +
+               settings_.gateway_count) %
+              settings_.gateway_count;
     if (c.plan != &plan) {
       c.plan = &plan;
       c.key = hash_text(r.customer);
       // An open cap, as attempt-seconds a second: so many out that chance seldom passes the cap.
-      const double open = plan.max_open;
+      const double open = plan.max_concurrent_attempts;
       c.rate = plan.rate > 0 ? plan.rate : std::max(kOpenLeast * open, open - kOpenSpread * std::sqrt(open));
-      c.at = c.ceiling_at = now;
+      c.at = c.hard_limit_updated_at = now;
       // Danger: a predecessor of this process may just have spent our part, as far as the slices let it: the
       // quota's burst. What the ceiling holds beyond that is there, and what has filled in since our start.
-      const double age = double(now - born_) / kSecond, beyond = plan.ceiling_burst - plan.burst;
-      c.ceiling = std::min(plan.ceiling_burst, std::max(0.0, beyond) + plan.ceiling_rate * age) / c.set_size;
+      const double age = double(now - born_) / kMicrosPerSecond, beyond = plan.hard_limit_burst - plan.burst;
+      c.hard_limit_tokens =
+          std::min(plan.hard_limit_burst, std::max(0.0, beyond) + plan.hard_limit_rate * age) / c.set_size;
       c.whole = burst(c);
       c.store = depth(c);
     }
@@ -106,40 +109,42 @@
     return c;
   }
 
-  void save(Handover& out) {
+  void save_state(HotRestartState& out) {
     for (auto& [who, c] : customers_) {
-      Customer copy = c;
-      copy.elsewhere += c.open;
+      CustomerQuota copy = c;
+      copy.predecessor_attempts += c.attempts_in_flight;
       // A call on its way was most likely added.
       for (const auto& [name, call] : pending_)
         if (call.first == who) copy.added += call.second;
-      out.customers[who] = {c.plan->name, save_figures(copy)};
+      out.customers[who] = {c.plan->name, serialize_fields(copy)};
     }
   }
-  void load(const std::string& who, const PlanSettings& plan, const Handover::Figures& figures) {
-    Customer c;
+  void restore_customer(const std::string& who, const PlanSettings& plan,
+                        const HotRestartState::Values& figures) {
+    CustomerQuota c;
     c.plan = &plan;
     c.key = hash_text(who);
-    if (load_figures(c, figures)) customers_[who] = c;
+    if (deserialize_fields(c, figures)) customers_[who] = c;
   }
-  Customer* known(const std::string& who) {
+  CustomerQuota* find(const std::string& who) {
     const auto it = customers_.find(who);
     return it == customers_.end() ? nullptr : &it->second;
   }
-  void elsewhere(const std::map<std::string, int>& open) {
+  void set_predecessor_attempts(const std::map<std::string, int>& open) {
     for (auto& [who, c] : customers_) {
       const auto it = open.find(who);
-      c.elsewhere = it == open.end() ? 0 : it->second;
+      c.predecessor_attempts = it == open.end() ? 0 : it->second;
     }
   }
-  std::map<std::string, int> open() const {
+  std::map<std::string, int> attempts_in_flight() const {
     std::map<std::string, int> out;
     for (const auto& [who, c] : customers_)
-      if (c.open + c.elsewhere > 0) out[who] = c.open + c.elsewhere;
+      if (c.attempts_in_flight + c.predecessor_attempts > 0)
+        out[who] = c.attempts_in_flight + c.predecessor_attempts;
     return out;
   }
   template <typename F>
-  void figures(F f) {
+  void visit_fields(F f) {
     f(call_rate_), f(calls_), f(kept_rate_), f(cut_at_), f(calls_at_), f(born_), f(in_a_row_);
   }
 
@@ -151,28 +156,30 @@
     for (auto& [who, c] : customers_) c.distrusted_epoch = c.epoch;
   }
 
-  double burst(const Customer& c) const { return c.plan->rate > 0 ? c.plan->burst : c.rate * kOpenBurst; }
+  double burst(const CustomerQuota& c) const {
+    return c.plan->rate > 0 ? c.plan->burst : c.rate * kOpenBurst;
+  }
   // Units a second that are ours: our own demand and an even part of the room that the total leaves, or our
   // share of the quota once the total reaches it. Danger: each of a hundred gateways would let all in of a
   // customer that no total has told of; until then it has an even part.
-  double slice(const Customer& c) const {
+  double slice(const CustomerQuota& c) const {
     if (c.read_at <= 0) return c.rate / c.set_size;
     const double total = c.own + c.others;
     return total < c.rate ? c.own + (c.rate - total) / c.set_size : c.rate * c.own / std::max(total, 1e-9);
   }
   // Danger: a whole burst kept at each gateway is let in once by each of them before any total tells.
-  double depth(const Customer& c) const { return burst(c) * slice(c) / std::max(c.rate, 1e-9); }
+  double depth(const CustomerQuota& c) const { return burst(c) * slice(c) / std::max(c.rate, 1e-9); }
   // Danger: a quota of a few units a second sees nought or a whole burst in one second; demand is smoothed
   // over as long as the burst lasts, or customers inside their quota would be refused.
-  double memory(const Customer& c) const {
+  double memory(const CustomerQuota& c) const {
     return std::clamp(burst(c) / std::max(c.rate, 1e-9), 1.0, kMaxHorizon);
   }
 
-  double fade(double seconds, const Customer& c) const { return std::exp(-seconds / memory(c)); }
+  double fade(double seconds, const CustomerQuota& c) const { return std::exp(-seconds / memory(c)); }
 
   // Fills the store, and our view of the whole by what the others leave; a debt there is paid by our slice.
-  void advance(Micros now, Customer& c) {
-    const double dt = double(now - c.at) / kSecond;
+  void advance(Micros now, CustomerQuota& c) {
+    const double dt = double(now - c.at) / kMicrosPerSecond;
     if (dt <= 0) return;
     c.at = now;
     const double keep = fade(dt, c);
@@ -184,7 +191,7 @@
     c.whole = std::min(burst(c), std::max(paid, c.whole + (c.rate - c.others) * dt));
   }
 
-  void count(Micros now, Customer& c, double units) {  // demand, let in or not
+  void record_demand(Micros now, CustomerQuota& c, double units) {  // demand, let in or not
     advance(now, c);
     c.own += units / memory(c);
     c.uncounted += units;
@@ -194,38 +201,38 @@
   // Is this request within the slice? One larger than the store can hold passes when that is full.
   // Danger: where a slice is less than a request in the time that the burst lasts, a store of it never holds
   // one, and a customer spread over many gateways is refused at each. There the slice is let in by lot.
-  bool by_lot(const Customer& c) const {
-    return c.set_size >= kManyGateways && c.read_at > 0 && depth(c) < kFew * settings_.largest_units;
+  bool by_lot(const CustomerQuota& c) const {
+    return c.set_size >= kManyGateways && c.read_at > 0 && depth(c) < kFew * settings_.max_request_units;
   }
-  bool covers(const Customer& c, double units) {
+  bool has_tokens(const CustomerQuota& c, double units) {
     if (by_lot(c)) return random_.uniform() * c.own < slice(c);
     return c.rate <= 0 || c.store >= std::min(units, depth(c)) - 1e-9;
   }
-  void take(Customer& c, double units) {
+  void consume(CustomerQuota& c, double units) {
     if (c.rate <= 0) return;
     c.store -= units;
     c.whole -= units;
   }
 
   // Seconds until the slice will have filled enough; where it is let in by lot, has earned as much.
-  double lacks(const Customer& c, double units) const {
+  double time_until_available(const CustomerQuota& c, double units) const {
     return std::max(0.0, units - (by_lot(c) ? 0 : c.store)) / std::max(slice(c), 1e-6);
   }
   // Danger: a client that returns after the aim takes units from fresh requests and earns nothing; the advice
   // stays short.
   Micros retry_after(double seconds, Micros aim) const {
     const double most = std::min(double(settings_.max_retry_after), kAdviseShare * double(aim));
-    return std::max(settings_.tick, Micros(std::min(most, seconds * kSecond)));
+    return std::max(settings_.tick, Micros(std::min(most, seconds * kMicrosPerSecond)));
   }
 
   // Hands own demand to the counter if a call is due, and tells whether a first total is on its way.
-  bool call(Micros now, const std::string& who, Customer& c, std::vector<Action>& out) {
+  bool sync_if_due(Micros now, const std::string& who, CustomerQuota& c, std::vector<Action>& out) {
     // Danger: one of a hundred gateways meets a customer so seldom that the total it read last tells nothing.
-    const bool known = c.read_at > 0 && double(now - c.read_at) <= memory(c) * kSecond;
+    const bool known = c.read_at > 0 && double(now - c.read_at) <= memory(c) * kMicrosPerSecond;
     if (!settings_.has_counter || c.rate <= 0 || c.uncounted <= 0) return false;
     if (!known && c.calling > 0) return !silent();
     const double most = std::max(kCallsFirst, call_rate_);
-    calls_ = std::min(most, calls_ + call_rate_ * double(now - calls_at_) / kSecond);
+    calls_ = std::min(most, calls_ + call_rate_ * double(now - calls_at_) / kMicrosPerSecond);
     calls_at_ = now;
     // A customer without a total of use comes first: without a call it is let in unseen. For the others, the
     // fewer calls are to spare, the more requests must one carry. Danger: customers met now and then by each
@@ -240,9 +247,9 @@
       c.counts_from = std::max(begun(c), stepped_at_);
       c.before = c.others;
     }
-    const auto name = std::int64_t(mix(c.key ^ mix(std::uint64_t(epoch))) >> 2);
+    const auto name = std::int64_t(mix_bits(c.key ^ mix_bits(std::uint64_t(epoch))) >> 2);
     pending_[name] = {who, c.uncounted};
-    out.push_back(AddToCounter{name, c.uncounted * growth(now, c), kNameLife});
+    out.push_back(IncrementCounter{name, c.uncounted * growth(now, c), kNameLife});
     c.uncounted = 0;
     c.asks = 0;
     c.called_at = now;
@@ -251,18 +258,18 @@
   }
 
   // Once a period: demand that lingers is handed on, idle customers are forgotten.
-  void look(Micros now, std::vector<Action>& out) {
+  void on_period(Micros now, std::vector<Action>& out) {
     std::map<const PlanSettings*, std::pair<double, double>> met;  // units met, and of them not handed on
     for (auto it = customers_.begin(); it != customers_.end();) {
       auto here = it++;
-      Customer& c = here->second;
+      CustomerQuota& c = here->second;
       advance(now, c);
-      if (now - c.last_use > kKnownFor && c.open == 0 && c.calling == 0) {
+      if (now - c.last_use > kKnownFor && c.attempts_in_flight == 0 && c.calling == 0) {
         customers_.erase(here);
         continue;
       }
       const double before = c.uncounted;
-      call(now, here->first, c, out);
+      sync_if_due(now, here->first, c, out);
       met[c.plan].first += c.own * memory(c);
       met[c.plan].second += (before + c.uncounted) / 2;  // many calls are made here, after a period's growth
     }
@@ -271,17 +278,17 @@
   }
 
   // The counter answered or failed to. Returns the customer it was about.
-  Customer* answered(Micros now, const CounterAnswered& a) {
+  CustomerQuota* on_counter_reply(Micros now, const CounterReply& a) {
     auto found = pending_.find(a.name);
     if (found == pending_.end()) return nullptr;
     const auto [who, amount] = found->second;
     pending_.erase(found);
-    const bool ok = a.outcome == CountOutcome::kOk;
+    const bool ok = a.outcome == CounterOutcome::kOk;
     // Danger: a counter asked more than it can serve answers next to nobody, and hundreds of gateways fill
     // its line within a tenth of a second. Each slows down at the first bad answer, once while the line
     // drains, and speeds up only while its pace holds calls back. After a silence it goes on at half of the
     // pace before.
-    const bool back = ok && silent(), late = a.outcome == CountOutcome::kUnknown;
+    const bool back = ok && silent(), late = a.outcome == CounterOutcome::kUnknown;
     const bool slow = 2 * a.duration > settings_.counter_timeout;
     in_a_row_ = ok ? 0 : in_a_row_ + 1;
     if (in_a_row_ == 1) kept_rate_ = kLateCut * call_rate_;
@@ -296,12 +303,12 @@
     }
     auto it = customers_.find(who);
     if (it == customers_.end()) return nullptr;
-    Customer& c = it->second;
+    CustomerQuota& c = it->second;
     --c.calling;
-    if (a.outcome == CountOutcome::kNotAdded) c.uncounted += amount;
+    if (a.outcome == CounterOutcome::kNotAdded) c.uncounted += amount;
     if (!ok || is_distrusted(now, c)) return &c;
     advance(now, c);
-    c.added += amount * fade(double(now - c.called_at) / kSecond, c);
+    c.added += amount * fade(double(now - c.called_at) / kMicrosPerSecond, c);
     const double all = a.total / growth(now, c);
     // Danger: a counter that forgot. Less than we added ourselves proves it; then nothing is believed, and
     // what is counted from now on comes on top of what was.
@@ -315,9 +322,10 @@
     // Danger: what a gateway has met and not handed on yet is in no total, and a hundred of them are each
     // let in by it for a quarter too much, or for half. Gateways are alike where they are many: others miss
     // as much as we do. Of a few, what one misses tells little of another.
-    const double missing = settings_.gateways >= kManyGateways ? std::min(kMostMissing, missing_[c.plan]) : 0;
+    const double missing =
+        settings_.gateway_count >= kManyGateways ? std::min(kMostMissing, missing_[c.plan]) : 0;
     const double told = (all - c.added) / memory(c) / (1 - missing);
-    c.others = told + c.before * fade(double(now - c.counts_from) / kSecond, c);
+    c.others = told + c.before * fade(double(now - c.counts_from) / kMicrosPerSecond, c);
     // What a customer asked elsewhere before we met it tells how much of its burst can be left.
     if (first) c.whole *= std::clamp((1 - c.others / c.rate) / (1 - kIdleGuess), 0.0, 1.0);
     c.read_at = now;
@@ -329,7 +337,7 @@
  private:
   // Danger: amounts grow with the wall clock's time. After that was stepped, names that were in use before
   // hold amounts of another scale, until the counter forgets them.
-  bool is_distrusted(Micros now, const Customer& c) const {
+  bool is_distrusted(Micros now, const CustomerQuota& c) const {
     return stepped_at_ > 0 && c.epoch <= c.distrusted_epoch && now - stepped_at_ < kNameLife;
   }
   bool silent() const { return in_a_row_ >= kDownAfter; }
@@ -337,10 +345,12 @@
   // it for long after. Gateways that share a clock add to a name the more, the later: its total over that
   // growth is the fading demand of all. They switch to a new name at once, at times spread over the
   // customers.
-  Micros length(const Customer& c) const { return Micros(kEpoch * memory(c) * kSecond); }
-  Micros phase(const Customer& c) const { return Micros(c.key % std::uint64_t(length(c))); }
-  Micros begun(const Customer& c) const { return c.epoch * length(c) - phase(c) - wall_offset_; }
-  double growth(Micros now, const Customer& c) const { return 1 / fade(double(now - begun(c)) / kSecond, c); }
+  Micros length(const CustomerQuota& c) const { return Micros(kEpoch * memory(c) * kMicrosPerSecond); }
+  Micros phase(const CustomerQuota& c) const { return Micros(c.key % std::uint64_t(length(c))); }
+  Micros begun(const CustomerQuota& c) const { return c.epoch * length(c) - phase(c) - wall_offset_; }
+  double growth(Micros now, const CustomerQuota& c) const {
+    return 1 / fade(double(now - begun(c)) / kMicrosPerSecond, c);
+  }
 
   const Settings& settings_;
   Random random_;
@@ -352,31 +362,34 @@
   Micros wall_offset_ = 0, stepped_at_ = 0;
   int in_a_row_ = 0;                               // failed calls
   std::map<const PlanSettings*, double> missing_;  // part of the demand met here that no call has carried yet
-  std::map<std::string, Customer> customers_;
+  std::map<std::string, CustomerQuota> customers_;
   std::unordered_map<std::int64_t, std::pair<std::string, double>>
       pending_;  // looked up by name, never walked
 };
 
 // ---- 2. Ceilings and open caps ------------------------------------------------------------------------
 // Danger: the ceiling is a rule. An even part of its rate and stock is safe alone.
-inline double ceiling_lacks(const Customer& c, double units) {  // seconds until it covers so much
-  return (units - c.ceiling) * c.set_size / c.plan->ceiling_rate;
+inline double time_until_hard_limit_allows(const CustomerQuota& c,
+                                           double units) {  // seconds until it covers so much
+  return (units - c.hard_limit_tokens) * c.set_size / c.plan->hard_limit_rate;
 }
-inline bool ceiling_covers(Micros now, Customer& c, double units) {
+inline bool hard_limit_allows(Micros now, CustomerQuota& c, double units) {
   const PlanSettings& p = *c.plan;
-  if (p.ceiling_rate <= 0) return true;
-  const double fill = p.ceiling_rate / c.set_size * double(now - c.ceiling_at) / kSecond;
-  c.ceiling = std::min(p.ceiling_burst / c.set_size, c.ceiling + fill);
-  c.ceiling_at = now;
-  return c.ceiling >= units;
+  if (p.hard_limit_rate <= 0) return true;
+  const double fill =
+      p.hard_limit_rate / c.set_size * double(now - c.hard_limit_updated_at) / kMicrosPerSecond;
+  c.hard_limit_tokens = std::min(p.hard_limit_burst / c.set_size, c.hard_limit_tokens + fill);
+  c.hard_limit_updated_at = now;
+  return c.hard_limit_tokens >= units;
 }
 
 // Danger: the cap holds over all gateways of the set, and each sees only its own attempts. An even part of
 // its places, what does not divide going to the first of the set; none is left without one.
-inline bool open_cap_covers(const Customer& c) {
-  const int cap = c.plan->max_open;
+inline bool concurrency_cap_allows(const CustomerQuota& c) {
+  const int cap = c.plan->max_concurrent_attempts;
   if (cap <= 0) return true;
-  return c.open + c.elsewhere < std::max(1, cap / c.set_size + (c.place < cap % c.set_size ? 1 : 0));
+  return c.attempts_in_flight + c.predecessor_attempts <
+         std::max(1, cap / c.set_size + (c.place < cap % c.set_size ? 1 : 0));
 }
 
-}  // namespace cottonroad::policy
+}  // namespace quota_gateway::decision
--- a/src/net/discovery.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "discovery.hpp"
+#include "discovery/discovery_client.hpp"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -8,9 +8,9 @@
 #include <stdexcept>
 #include <utility>
 
-#include "stream_io.hpp"
+#include "network/stream_io.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 namespace {
 
 namespace asio = boost::asio;
@@ -29,10 +29,10 @@
 constexpr std::size_t kMostPending = 4 << 20;  // of one line
 constexpr Micros kLogEvery = 10'000'000;
 
-ServerState parse_state(const std::string& phase) {
-  if (phase == "draining") return ServerState::kDraining;
-  if (phase == "removed") return ServerState::kRemoved;
-  if (phase == "up") return ServerState::kUp;
+EndpointState parse_state(const std::string& phase) {
+  if (phase == "draining") return EndpointState::kDraining;
+  if (phase == "removed") return EndpointState::kRemoved;
+  if (phase == "up") return EndpointState::kUp;
   throw std::runtime_error("unknown phase " + phase);
 }
 
@@ -52,29 +52,30 @@
   return {address, static_cast<unsigned short>(port)};
 }
 
-MemberList parse_members(const nlohmann::json& list) {
-  MemberList out;
+DiscoveryUpdate parse_discovery_update(const nlohmann::json& list) {
+  DiscoveryUpdate out;
   out.revision = list.at("revision").get<std::int64_t>();
   out.complete = list.value("complete", false);
   for (const auto& m : list.at("members")) {
-    Member member;
-    ServerEntry& e = member.entry;
-    e.server = m.at("id").get<std::string>();
+    DiscoveredEndpoint member;
+    EndpointEntry& e = member.entry;
+    e.endpoint = m.at("id").get<std::string>();
     e.state = parse_state(m.at("phase").get<std::string>());
-    if (e.state != ServerState::kRemoved || m.contains("host_port"))
+    if (e.state != EndpointState::kRemoved || m.contains("host_port"))
       member.address = parse_endpoint(m.at("host_port").get<std::string>());
     e.zone = m.value("locality", "");
-    e.kind = m.value("flavor", "");
+    e.hardware = m.value("flavor", "");
     e.cell = m.value("cell", std::int64_t{0});
     e.weight = m.value("size", 1.0);
     e.started_at = m.value("up_since_ms", std::int64_t{0}) * 1000;
-    out.members.push_back(std::move(member));
+    out.endpoints.push_back(std::move(member));
   }
   return out;
 }
 
-Discovery::Discovery(asio::io_context& io, Timers& timers, const Clock& clock, tcp::endpoint agent,
-                     std::int64_t revision, Micros drain_grace, Told told)
+DiscoveryClient::DiscoveryClient(asio::io_context& io, Timers& timers, const Clock& clock,
+                                 tcp::endpoint agent, std::int64_t revision, Micros drain_grace,
+                                 UpdateCallback told)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -84,9 +85,9 @@
       told_(std::move(told)),
       socket_(io) {}
 
-void Discovery::start() { connect(); }
+void DiscoveryClient::start() { connect(); }
 
-void Discovery::move(const tcp::endpoint& agent) {
+void DiscoveryClient::reconnect_to(const tcp::endpoint& agent) {
   if (agent == agent_) return;
   agent_ = agent;
   backoff_ = 0;
@@ -95,14 +96,14 @@
 
 // Danger: a watch can break without a word, a connect can hang, and an answer can stall. The agent answers at
 // once, with a line, and sends at least an empty one every 2 s.
-void Discovery::watch_quiet(int life) {
+void DiscoveryClient::watch_quiet(int life) {
   if (life != life_) return;
   const Micros until = answered_ ? heard_ + kQuiet : std::min(heard_ + at_once_, began_ + kFirstLine);
   if (clock_.now() >= until) return lost("quiet");
-  timers_.at(until, [this, life] { watch_quiet(life); });
+  timers_.schedule_at(until, [this, life] { watch_quiet(life); });
 }
 
-void Discovery::connect() {
+void DiscoveryClient::connect() {
   const int life = ++life_;
   heard_ = began_ = clock_.now();
   pending_.clear();
@@ -123,7 +124,7 @@
   watch_quiet(life);
 }
 
-void Discovery::request(int life) {
+void DiscoveryClient::request(int life) {
   request_ = "GET /catalog/members?watch=1";
   if (!whole_) request_ += "&after=" + std::to_string(revision_);
   request_ += " HTTP/1.1\r\nHost: " + agent_.address().to_string() + "\r\n\r\n";
@@ -137,7 +138,7 @@
   read(life);
 }
 
-void Discovery::read(int life) {
+void DiscoveryClient::read(int life) {
   socket_.async_read_some(asio::buffer(chunk_), [this, life](error_code ec, std::size_t size) {
     if (life != life_) return;
     if (ec) return lost(ec.message());
@@ -154,7 +155,7 @@
   });
 }
 
-void Discovery::took(std::size_t size) {
+void DiscoveryClient::took(std::size_t size) {
   pending_.append(chunk_.data(), size);
   while (!pending_.empty()) {
     error_code ec;
@@ -179,7 +180,7 @@
   if (parser_->is_done()) lost("the watch ended");
 }
 
-void Discovery::line(const std::string& text) {
+void DiscoveryClient::line(const std::string& text) {
   const bool blank = text.find_first_not_of(" \r\t") == std::string::npos;
   if (!blank) object_ += text;
   if (!blank && !ends_object(text)) return;  // indented, it goes on in the next line
@@ -187,7 +188,7 @@
   answered_ = true;
   heard_ = clock_.now();
   if (blank) return;  // a heartbeat
-  const MemberList list = parse_members(nlohmann::json::parse(std::exchange(object_, {})));
+  const DiscoveryUpdate list = parse_discovery_update(nlohmann::json::parse(std::exchange(object_, {})));
   if (is_outdated(list)) return;
   revision_ = list.revision;
   whole_ = false;
@@ -196,7 +197,7 @@
 
 // Danger: an agent may lag behind the one before it. What it tells was true before what we know; it would
 // bring servers that drain back into use. Changes after our own revision follow once it has caught up.
-bool Discovery::is_outdated(const MemberList& list) {
+bool DiscoveryClient::is_outdated(const DiscoveryUpdate& list) {
   if (list.revision >= revision_) return false;
   const Micros now = clock_.now();
   if (now - logged_ > kLogEvery) {
@@ -206,7 +207,7 @@
   return true;
 }
 
-bool Discovery::ends_object(const std::string& text) {
+bool DiscoveryClient::ends_object(const std::string& text) {
   for (const char ch : text) {
     if (std::exchange(escaped_, false)) continue;
     escaped_ = quoted_ && ch == '\\';
@@ -216,7 +217,7 @@
   return depth_ <= 0 && !quoted_;
 }
 
-void Discovery::lost(const std::string& why) {
+void DiscoveryClient::lost(const std::string& why) {
   error_code ignored;
   socket_.close(ignored);
   const int life = ++life_;
@@ -230,9 +231,9 @@
   // many callers already.
   const Micros most = std::exchange(turned_away_, false) ? kMostBackoff : at_once_;
   backoff_ = std::clamp(2 * backoff_, std::min(kFirstBackoff, most), most);
-  timers_.after(wait, [this, life] {
+  timers_.schedule_after(wait, [this, life] {
     if (life == life_) connect();
   });
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/discovery.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -11,33 +11,34 @@
 #include <string>
 #include <vector>
 
-#include "cottonroad/gateway.hpp"
-#include "timers.hpp"
+#include "quota_gateway/decision_engine.hpp"
+#include "runtime/timers.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 
-struct Member {
-  ServerEntry entry;
+struct DiscoveredEndpoint {
+  EndpointEntry entry;
   boost::asio::ip::tcp::endpoint address;  // port 0: not told
 };
-struct MemberList {
+struct DiscoveryUpdate {
   std::int64_t revision = 0;
   bool complete = false;  // else only what changed
-  std::vector<Member> members;
+  std::vector<DiscoveredEndpoint> endpoints;
 };
 
 // Throws std::exception on a list of the wrong shape.
-MemberList parse_members(const nlohmann::json& list);
+DiscoveryUpdate parse_discovery_update(const nlohmann::json& list);
 boost::asio::ip::tcp::endpoint parse_endpoint(const std::string& text);
 
-class Discovery {
+class DiscoveryClient {
  public:
-  using Told = std::function<void(const MemberList&)>;
-  Discovery(boost::asio::io_context& io, Timers& timers, const Clock& clock,
-            boost::asio::ip::tcp::endpoint agent, std::int64_t revision, Micros drain_grace, Told told);
+  using UpdateCallback = std::function<void(const DiscoveryUpdate&)>;
+  DiscoveryClient(boost::asio::io_context& io, Timers& timers, const Clock& clock,
+                  boost::asio::ip::tcp::endpoint agent, std::int64_t revision, Micros drain_grace,
+                  UpdateCallback told);
   void start();
   // Goes on with the watch at another address, from the last revision.
-  void move(const boost::asio::ip::tcp::endpoint& agent);
+  void reconnect_to(const boost::asio::ip::tcp::endpoint& agent);
 
  private:
   using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
@@ -49,7 +50,7 @@
   void lost(const std::string& why);
   void watch_quiet(int life);
   bool ends_object(const std::string& text);
-  bool is_outdated(const MemberList& list);
+  bool is_outdated(const DiscoveryUpdate& list);
 
   boost::asio::io_context& io_;
   Timers& timers_;
@@ -60,7 +61,7 @@
   bool whole_ = false;    // ask for the whole list next
   bool turned_away_ = false;
   bool answered_ = false;  // with the watch's first line
-  Told told_;
+  UpdateCallback told_;
   boost::asio::ip::tcp::socket socket_;
   std::optional<Parser> parser_;
   std::array<char, 16384> chunk_;
@@ -73,4 +74,4 @@
   Micros logged_ = 0;
 };
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/body.hpp
+++ b/src/network/body_transfer.hpp
@@ -11,19 +11,22 @@
 #include <utility>
 #include <vector>
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 
 // Bytes; a body up to this is held and can be sent again, and of a larger one so much may wait here.
-constexpr std::size_t kWhole = 64 << 10;
-constexpr std::size_t kPressed = 4 << 10;      // in its place while all bodies together take too much
-constexpr std::size_t kReadSize = 32 << 10;    // bytes read at once, into a buffer that all connections share
-constexpr std::uint64_t kMostBody = 64 << 20;  // bytes; twice the largest that is expected
+constexpr std::size_t kBufferedBodyLimit = 64 << 10;
+constexpr std::size_t kBufferedBodyLimitUnderPressure =
+    4 << 10;                                 // in its place while all bodies together take too much
+constexpr std::size_t kReadSize = 32 << 10;  // bytes read at once, into a buffer that all connections share
+constexpr std::uint64_t kMaxBodySize = 64 << 20;  // bytes; twice the largest that is expected
 
 // What all bodies held here come to, over all connections.
 class BodyBudget {
  public:
   explicit BodyBudget(std::size_t most) : most_(most) {}
-  std::size_t whole() const { return used_ < most_ ? kWhole : kPressed; }
+  [[nodiscard]] std::size_t buffered_body_limit() const {
+    return used_ < most_ ? kBufferedBodyLimit : kBufferedBodyLimitUnderPressure;
+  }
 
   // One connection's part of it.
   class Share {
@@ -47,14 +50,14 @@
 // The body of one request on its way from its client to a server; about a window of it is here at the most.
 // What was taken is gone: such a request can't be sent again. None of the functions that wait here is called
 // from within the call that sets it.
-class Upload {
+class BodyUpload {
  public:
-  explicit Upload(std::optional<std::uint64_t> length) : length_(length) {}
-  std::function<void()> wanted;  // told once, when a server is there to take it
-  std::function<void()> room;    // told once, when some was taken
+  explicit BodyUpload(std::optional<std::uint64_t> length) : length_(length) {}
+  std::function<void()> on_consumer_ready;  // told once, when a server is there to take it
+  std::function<void()> on_drained;         // told once, when some was taken
 
-  std::optional<std::uint64_t> length() const { return length_; }  // none: chunked
-  void put(const std::string& bytes) {
+  [[nodiscard]] std::optional<std::uint64_t> length() const { return length_; }  // none: chunked
+  void append(const std::string& bytes) {
     waiting_ += bytes;
     if (!bytes.empty()) tell(more_);
   }
@@ -63,19 +66,19 @@
     tell(more_);
   }
   // Calls `more` once there is something to take, or nothing more comes.
-  void wait(std::function<void()> more) {
+  void wait_for_data(std::function<void()> more) {
     more_ = std::move(more);
-    tell(wanted);
+    tell(on_consumer_ready);
   }
-  std::string take() {
+  std::string take_data() {
     begun_ = true;
     std::string out = std::exchange(waiting_, {});
-    tell(room);
+    tell(on_drained);
     return out;
   }
-  std::size_t size() const { return waiting_.size(); }
-  bool finished() const { return finished_; }
-  bool begun() const { return begun_; }
+  [[nodiscard]] std::size_t size() const { return waiting_.size(); }
+  [[nodiscard]] bool is_finished() const { return finished_; }
+  [[nodiscard]] bool is_started() const { return begun_; }
 
  private:
   static void tell(std::function<void()>& whom) {
@@ -100,4 +103,4 @@
   return used;
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/stream_io.hpp
+++ b/src/network/stream_io.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <utility>
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 
 // read_some() that goes on when a signal interrupts it.
 template <typename Buffers>
@@ -55,4 +55,4 @@
                     });
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/system_errors.hpp
+++ b/src/network/system_errors.hpp
@@ -4,7 +4,7 @@
 #include <boost/system/error_code.hpp>
 #include <cerrno>
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 
 // What a failed accept means for the calls after it.
 enum class AcceptFailure {
@@ -56,4 +56,4 @@
   }
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/durable_file.cpp
+++ b/src/restart/atomic_file.cpp
@@ -1,4 +1,4 @@
-#include "durable_file.hpp"
+#include "restart/atomic_file.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <string_view>
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 namespace {
 
 bool write_whole(int file, std::string_view text) {
@@ -53,4 +53,4 @@
   return !durable || sync_directory_of(path);
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/durable_file.hpp
+++ b/src/restart/atomic_file.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 
 // kDurable: the text outlives the machine's crash once replace_file() has returned true.
 enum class Durability { kProcess, kDurable };
@@ -11,4 +11,4 @@
 // False if anything failed; the file is then as it was.
 bool replace_file(const std::string& path, const std::string& text, Durability durability);
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/handover.cpp
+++ b/src/restart/hot_restart.cpp
@@ -1,4 +1,4 @@
-#include "handover.hpp"
+#include "restart/hot_restart.hpp"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -13,9 +13,9 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "durable_file.hpp"
+#include "restart/atomic_file.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 namespace {
 
 constexpr Micros kClaims = 20'000;      // us between looks for a successor, whose clients wait meanwhile
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-std::optional<Micros> predecessor_clock(const std::string& directory) {
+std::optional<Micros> predecessor_clock_offset(const std::string& directory) {
   if (directory.empty()) return std::nullopt;
   const auto owner = nlohmann::json::parse(read_file(directory + "/owner.json"), nullptr, false);
   const auto clock = owner.is_object() ? owner.find("clock") : owner.end();
@@ -76,40 +76,40 @@
   return fd;
 }
 
-Disabled::Disabled(Timers& timers, const std::string& directory, Switched switched)
+DisabledEndpoints::DisabledEndpoints(Timers& timers, const std::string& directory, ChangeCallback on_change)
     : timers_(timers),
       path_(directory.empty() ? "" : directory + "/disabled.json"),
-      switched_(std::move(switched)) {}
+      on_change_(std::move(on_change)) {}
 
-void Disabled::start() {
+void DisabledEndpoints::start() {
   if (!path_.empty()) watch();
 }
 
-void Disabled::set(const std::string& server, bool disabled, Done done) {
+void DisabledEndpoints::set(const std::string& server, bool disabled, Done done) {
   set(server, disabled, std::move(done), timers_.now() + kKeepPatience);
 }
 
 // Danger: what staff heard a yes for outlives this process, however soon it is killed; so it is on disk
 // first.
-void Disabled::set(const std::string& server, bool disabled, Done done, Micros until) {
+void DisabledEndpoints::set(const std::string& server, bool disabled, Done done, Micros until) {
   if (!path_.empty()) load();  // the other process may just have written
   std::set<std::string> wanted = servers_;
   const bool changes = disabled ? wanted.insert(server).second : wanted.erase(server) > 0;
   if (keep(wanted)) {
     servers_ = std::move(wanted);
-    if (changes) switched_(server, disabled);
+    if (changes) on_change_(server, disabled);
     return done(true);
   }
   if (timers_.now() >= until) {
     std::cerr << "disabled: cannot write " << path_ << '\n';
     return done(false);
   }
-  timers_.after(kKeepAgain, [this, server, disabled, done = std::move(done), until]() mutable {
+  timers_.schedule_after(kKeepAgain, [this, server, disabled, done = std::move(done), until]() mutable {
     set(server, disabled, std::move(done), until);
   });
 }
 
-void Disabled::load() {
+void DisabledEndpoints::load() {
   const std::string text = read_file(path_);
   if (text.empty() || text == seen_) return;
   const auto json = nlohmann::json::parse(text, nullptr, false);
@@ -120,12 +120,12 @@
   seen_ = text;
   const auto before = std::exchange(servers_, told);
   for (const std::string& id : before)
-    if (!told.count(id)) switched_(id, false);
+    if (!told.count(id)) on_change_(id, false);
   for (const std::string& id : told)
-    if (!before.count(id)) switched_(id, true);
+    if (!before.count(id)) on_change_(id, true);
 }
 
-bool Disabled::keep(const std::set<std::string>& servers) {
+bool DisabledEndpoints::keep(const std::set<std::string>& servers) {
   if (path_.empty()) return true;
   const std::string text = nlohmann::json(servers).dump();
   if (!replace_file(path_, text, Durability::kDurable)) return false;
@@ -133,20 +133,21 @@
   return true;
 }
 
-void Disabled::watch() {
+void DisabledEndpoints::watch() {
   load();
-  timers_.after(kWatch, [this] { watch(); });
+  timers_.schedule_after(kWatch, [this] { watch(); });
 }
 
-Takeover::Takeover(Timers& timers, const Clock& clock, std::string directory, Micros longest, Calls calls)
+HotRestart::HotRestart(Timers& timers, const Clock& clock, std::string directory, Micros longest,
+                       Callbacks callbacks)
     : timers_(timers),
       clock_(clock),
       directory_(std::move(directory)),
       longest_(longest),
-      calls_(std::move(calls)),
+      callbacks_(std::move(callbacks)),
       token_(std::to_string(::getpid()) + "-" + std::to_string(clock.now())) {}
 
-Takeover::~Takeover() {
+HotRestart::~HotRestart() {
   if (lock_ < 0) return;
   ::close(lock_);
   ::unlink((directory_ + "/alive-" + token_).c_str());
@@ -154,94 +155,96 @@
 
 // Tells the other process that this one serves, or wants to. The files between processes need not outlive a
 // crash of the machine, which ends both.
-bool Takeover::claim() {
+bool HotRestart::claim() {
   if (lock_ < 0) {
     lock_ = ::open((directory_ + "/alive-" + token_).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (lock_ < 0) return false;
     ::flock(lock_, LOCK_EX | LOCK_NB);
   }
-  const nlohmann::json owner{{"token", token_}, {"clock", clock_.ahead_of_steady()}};
+  const nlohmann::json owner{{"token", token_}, {"clock", clock_.offset_from_steady()}};
   return replace_file(directory_ + "/owner.json", owner.dump(), Durability::kProcess);
 }
 
-void Takeover::claim_until_told() {
+void HotRestart::claim_until_told() {
   claimed_ = claim();
   if (claimed_) {
     since_ = clock_.now();
     return;
   }
   if (!std::exchange(claim_failed_, true)) std::cerr << "handover: cannot write to " << directory_ << '\n';
-  timers_.after(kClaims, [this] { claim_until_told(); });
+  timers_.schedule_after(kClaims, [this] { claim_until_told(); });
 }
 
-void Takeover::start() {
+void HotRestart::start() {
   const std::string before = token_in(directory_ + "/owner.json", "token");
   since_ = clock_.now();
   const bool served = is_alive(directory_, before);
   claim_until_told();
   if (served) return await_state();
-  calls_.start(nullptr);
+  callbacks_.on_start(nullptr);
   watch();
 }
 
-void Takeover::await_state() {
+void HotRestart::await_state() {
   const std::string path = directory_ + "/state.json";
   try {
     const auto json = nlohmann::json::parse(read_file(path));
     if (json.at("for") == token_) {
-      const Handover from{json.at("customers").get<decltype(Handover::customers)>(),
-                          json.at("servers").get<decltype(Handover::servers)>(),
-                          json.at("fleet").get<Handover::Figures>()};
+      const HotRestartState from{json.at("customers").get<decltype(HotRestartState::customers)>(),
+                                 json.at("servers").get<decltype(HotRestartState::endpoints)>(),
+                                 json.at("fleet").get<HotRestartState::Values>()};
       ::unlink(path.c_str());
-      calls_.start(&from);
+      callbacks_.on_start(&from);
       hear_open();
       return watch();
     }
   } catch (const nlohmann::json::exception&) {  // not there yet, or none of ours
   }
   if (clock_.now() - since_ < (claimed_ ? kPatience : kClaimPatience))
-    return timers_.after(kState, [this] { await_state(); });
+    return timers_.schedule_after(kState, [this] { await_state(); });
   std::cerr << "handover: the process before this one does not answer\n";
-  calls_.start(nullptr);
+  callbacks_.on_start(nullptr);
   watch();
 }
 
-void Takeover::watch() {
+void HotRestart::watch() {
   const std::string owner = token_in(directory_ + "/owner.json", "token");
   if (!claimed_) {
     // Danger: the file still names our predecessor, which is no successor.
   } else if (successor_.empty()) {
     if (!owner.empty() && owner != token_ && is_alive(directory_, owner)) {
       successor_ = owner;
-      const Handover state = calls_.hand_over();
-      const nlohmann::json told{
-          {"for", owner}, {"customers", state.customers}, {"servers", state.servers}, {"fleet", state.fleet}};
+      const HotRestartState state = callbacks_.begin();
+      const nlohmann::json told{{"for", owner},
+                                {"customers", state.customers},
+                                {"servers", state.endpoints},
+                                {"fleet", state.fleet}};
       tell_state(told.dump());
       tell_open();
     }
   } else if (!is_alive(directory_, successor_)) {
     successor_.clear();
     claim_until_told();
-    calls_.take_back();
+    callbacks_.on_aborted();
   }
-  timers_.after(kClaims, [this] { watch(); });
+  timers_.schedule_after(kClaims, [this] { watch(); });
 }
 
-void Takeover::tell_state(const std::string& state) {
+void HotRestart::tell_state(const std::string& state) {
   if (successor_.empty()) return;
   if (replace_file(directory_ + "/state.json", state, Durability::kProcess)) return;
-  timers_.after(kStateAgain, [this, state] { tell_state(state); });
+  timers_.schedule_after(kStateAgain, [this, state] { tell_state(state); });
 }
 
-void Takeover::tell_open() {
+void HotRestart::tell_open() {
   if (successor_.empty()) return;
-  const auto open = calls_.open();
+  const auto open = callbacks_.attempts_in_flight();
   const nlohmann::json told{{"for", successor_}, {"open", open}};
   const bool written = replace_file(directory_ + "/open.json", told.dump(), Durability::kProcess);
-  if (!written || !open.empty()) timers_.after(kOpen, [this] { tell_open(); });
+  if (!written || !open.empty()) timers_.schedule_after(kOpen, [this] { tell_open(); });
 }
 
-void Takeover::hear_open() {
+void HotRestart::hear_open() {
   std::map<std::string, int> open;
   const bool over = clock_.now() - since_ > longest_;
   bool told = over;
@@ -253,8 +256,8 @@
     }
   } catch (const nlohmann::json::exception&) {  // not there yet, or torn
   }
-  if (told) calls_.predecessor(open);
-  if (!told || !open.empty()) timers_.after(kOpen, [this] { hear_open(); });
+  if (told) callbacks_.on_predecessor_attempts(open);
+  if (!told || !open.empty()) timers_.schedule_after(kOpen, [this] { hear_open(); });
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/config.cpp
+++ b/src/runtime/configuration.cpp
@@ -2,10 +2,10 @@
 #include <charconv>
 #include <stdexcept>
 
-#include "codec.hpp"
-#include "driver.hpp"
+#include "adapter/codec.hpp"
+#include "runtime/coordinator.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 namespace {
 
 using nlohmann::json;
@@ -22,10 +22,11 @@
 
 void check(const Settings& s) {
   if (s.classes.empty()) bad("settings name no class");
-  if (s.gateways < 1 || s.position < 0 || s.position >= s.gateways) bad("settings: no such position");
+  if (s.gateway_count < 1 || s.gateway_index < 0 || s.gateway_index >= s.gateway_count)
+    bad("settings: no such position");
   if (s.max_attempts < 1) bad("settings allow no attempt");
   for (const ClassSettings& c : s.classes)
-    if (c.deadline <= 0) bad("class '" + c.name + "' has no deadline");
+    if (c.client_timeout <= 0) bad("class '" + c.name + "' has no deadline");
 }
 
 Micros positive(const json& section, const char* key, Micros fallback) {
@@ -42,29 +43,30 @@
 
 }  // namespace
 
-Config parse_config(const json& config) {
+Configuration parse_configuration(const json& config) {
   if (!config.is_object()) bad("no object");
-  Config out;
+  Configuration out;
   out.name = text(config, "name");
   out.listen = parse_endpoint(text(config, "listen"));
   out.discovery = parse_endpoint(text(config, "discovery"));
   if (config.contains("counter") && !config["counter"].is_null())
     out.counter = parse_endpoint(text(config, "counter"));
   if (config.contains("admin_addr") && !config["admin_addr"].is_null())
-    out.admin = parse_endpoint(text(config, "admin_addr"));
+    out.admin_address = parse_endpoint(text(config, "admin_addr"));
   if (config.contains("seed")) out.seed = parse_seed(text(config, "seed"));
   const json limits = config.value("limits", json::object());
-  out.sockets = std::size_t(positive(limits, "sockets", 1024));
+  out.max_sockets = std::size_t(positive(limits, "sockets", 1024));
   out.memory_mb = std::size_t(positive(limits, "memory_mb", 192));
-  if (out.sockets < 64) bad("fewer than 64 sockets");
+  if (out.max_sockets < 64) bad("fewer than 64 sockets");
   if (!config.contains("settings")) bad("no settings");
   out.settings = wire::parse_settings(config["settings"]);
   check(out.settings);
   const json network = config["settings"].value("Limits", json::object());
-  out.conn_idle = positive(network, "ConnIdleUs", out.conn_idle);
-  out.dial_timeout = positive(network, "DialTimeoutUs", out.dial_timeout);
-  if (config.contains("known") && !config["known"].is_null()) out.known = parse_members(config["known"]);
+  out.connection_idle_timeout = positive(network, "ConnIdleUs", out.connection_idle_timeout);
+  out.connect_timeout = positive(network, "DialTimeoutUs", out.connect_timeout);
+  if (config.contains("known") && !config["known"].is_null())
+    out.initial_endpoints = parse_discovery_update(config["known"]);
   return out;
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/main.cpp
+++ b/src/runtime/main.cpp
@@ -10,21 +10,22 @@
 #include <iostream>
 #include <stdexcept>
 
-#include "driver.hpp"
-#include "handover.hpp"
+#include "restart/hot_restart.hpp"
+#include "runtime/coordinator.hpp"
 
 namespace {
 
-cottonroad::net::Config read_config() {
+quota_gateway::net::Configuration read_configuration() {
   const char* path = std::getenv("RELAY_CONFIG");
   if (!path || !*path) throw std::runtime_error("RELAY_CONFIG is not set");
   std::ifstream file(path);
   if (!file) throw std::runtime_error(std::string("cannot read ") + path);
-  auto config = cottonroad::net::parse_config(nlohmann::json::parse(file));
+  auto config = quota_gateway::net::parse_configuration(nlohmann::json::parse(file));
   const char* admin = std::getenv("RELAY_ADMIN_ADDR");
   const char* shared = std::getenv("TMPDIR");
   if (shared) config.shared_directory = shared;
-  if (!config.admin && admin && *admin) config.admin = cottonroad::net::parse_endpoint(admin);
+  if (!config.admin_address && admin && *admin)
+    config.admin_address = quota_gateway::net::parse_endpoint(admin);
   return config;
 }
 
@@ -34,13 +35,13 @@
 class Reconfiguration {
  public:
   Reconfiguration(boost::asio::io_context& io, boost::asio::signal_set& hangup,
-                  cottonroad::net::Driver& driver)
-      : hangup_(hangup), driver_(driver), timer_(io) {}
+                  quota_gateway::net::Coordinator& coordinator)
+      : hangup_(hangup), coordinator_(coordinator), timer_(io) {}
 
   void wait() {
     hangup_.async_wait([this](const boost::system::error_code& ec, int) {
       if (ec) return;
-      follow(kTries);
+      apply(kTries);
       wait();
     });
   }
@@ -49,24 +50,24 @@
   static constexpr int kTries = 20;
   static constexpr std::chrono::milliseconds kAgain{100};
 
-  void follow(int tries) {
+  void apply(int tries) {
     timer_.cancel();
     try {
-      const auto config = read_config();
-      driver_.follow(config);
+      const auto config = read_configuration();
+      coordinator_.apply_configuration(config);
       std::cerr << config.name << ": configuration read again\n";
     } catch (const std::exception& e) {
       if (tries == kTries) std::cerr << "hangup: " << e.what() << '\n';
       if (tries <= 1) return;
       timer_.expires_after(kAgain);
       timer_.async_wait([this, tries](const boost::system::error_code& ec) {
-        if (!ec) follow(tries - 1);
+        if (!ec) apply(tries - 1);
       });
     }
   }
 
   boost::asio::signal_set& hangup_;
-  cottonroad::net::Driver& driver_;
+  quota_gateway::net::Coordinator& coordinator_;
   boost::asio::steady_timer timer_;
 };
 
@@ -90,23 +91,25 @@
     boost::asio::io_context io(1);
     // Danger: a signal that comes while we start would end the process with what its socket has taken.
     boost::asio::signal_set signals(io, SIGTERM, SIGINT), hangup(io, SIGHUP);
-    auto config = read_config();
-    config.listener = cottonroad::net::inherited_listener();
-    const auto inherited_clock =
-        config.listener ? cottonroad::net::predecessor_clock(config.shared_directory) : std::nullopt;
-    const auto clock = inherited_clock ? cottonroad::net::Clock(*inherited_clock) : cottonroad::net::Clock();
-    cottonroad::net::Driver driver(io, config, clock);
+    auto config = read_configuration();
+    config.inherited_listener = quota_gateway::net::inherited_listener();
+    const auto inherited_clock = config.inherited_listener
+                                     ? quota_gateway::net::predecessor_clock_offset(config.shared_directory)
+                                     : std::nullopt;
+    const auto clock =
+        inherited_clock ? quota_gateway::net::Clock(*inherited_clock) : quota_gateway::net::Clock();
+    quota_gateway::net::Coordinator coordinator(io, config, clock);
     signals.async_wait([&](const boost::system::error_code& ec, int) {
       if (ec) return;
       std::cerr << config.name << ": draining\n";
-      driver.drain([&] { io.stop(); });
+      coordinator.drain([&] { io.stop(); });
     });
-    Reconfiguration reconfiguration(io, hangup, driver);
+    Reconfiguration reconfiguration(io, hangup, coordinator);
     reconfiguration.wait();
-    driver.when_listening([&] { std::cerr << config.name << ": ready\n"; });
+    coordinator.on_listening([&] { std::cerr << config.name << ": ready\n"; });
     run(io);
   } catch (const std::exception& e) {
-    std::cerr << "cottonroad_gateway: " << e.what() << '\n';
+    std::cerr << "quota_gateway: " << e.what() << '\n';
     return 1;
   }
   return 0;
--- a/src/net/timers.cpp
+++ b/src/runtime/timers.cpp
@@ -1,10 +1,10 @@
-#include "timers.hpp"
+#include "runtime/timers.hpp"
 
 #include <algorithm>
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 
-void Timers::at(Micros when, std::function<void()> what) {
+void Timers::schedule_at(Micros when, std::function<void()> what) {
   heap_.push_back({when, ++order_, std::move(what)});
   std::push_heap(heap_.begin(), heap_.end());
   arm();
@@ -35,10 +35,11 @@
     try {
       due[i].what();
     } catch (...) {
-      for (++i; i < due.size(); ++i) at(due[i].when, std::move(due[i].what));  // nor be the end of the others
+      for (++i; i < due.size(); ++i)
+        schedule_at(due[i].when, std::move(due[i].what));  // nor be the end of the others
       throw;
     }
   }
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/timers.hpp
+++ b/src/runtime/timers.hpp
@@ -8,9 +8,9 @@
 #include <functional>
 #include <vector>
 
-#include "cottonroad/gateway.hpp"
+#include "quota_gateway/decision_engine.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 
 // Tells the time by the steady clock, so that all spans are of real time however the wall clock is stepped.
 // The two are the same at the start.
@@ -20,10 +20,10 @@
   // Continues the time of another process on this machine, which told it `ahead` of the steady clock.
   explicit Clock(Micros ahead) : ahead_(ahead) {}
   virtual ~Clock() = default;
-  virtual Micros now() const { return steady() + ahead_; }
+  [[nodiscard]] virtual Micros now() const { return steady() + ahead_; }
   // The wall clock, by which servers note their starts and gateways name their counts.
-  virtual Micros wall_now() const { return wall(); }
-  Micros ahead_of_steady() const { return ahead_; }
+  [[nodiscard]] virtual Micros wall_now() const { return wall(); }
+  [[nodiscard]] Micros offset_from_steady() const { return ahead_; }
 
  private:
   template <typename Duration>
@@ -43,9 +43,11 @@
  public:
   Timers(boost::asio::io_context& io, const Clock& clock) : clock_(clock), timer_(io) {}
 
-  Micros now() const { return clock_.now(); }
-  void at(Micros when, std::function<void()> what);
-  void after(Micros delay, std::function<void()> what) { at(clock_.now() + delay, std::move(what)); }
+  [[nodiscard]] Micros now() const { return clock_.now(); }
+  void schedule_at(Micros when, std::function<void()> what);
+  void schedule_after(Micros delay, std::function<void()> what) {
+    schedule_at(clock_.now() + delay, std::move(what));
+  }
 
  private:
   struct Entry {
@@ -64,4 +66,4 @@
   Micros armed_for_ = 0;  // 0: not armed
 };
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
