--- a/src/net/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -1,4 +1,4 @@
-#include "upstream.hpp"
+#include "upstream/upstream.hpp"
 
 #include <sys/socket.h>
 
@@ -14,10 +14,10 @@
 #include <optional>
 #include <string_view>
 
-#include "stream_io.hpp"
-#include "system_errors.hpp"
+#include "network/stream_io.hpp"
+#include "network/system_errors.hpp"
 
-namespace cottonroad::net {
+namespace quota_gateway::net {
 namespace {
 
 namespace asio = boost::asio;
@@ -77,7 +77,7 @@
   if (answer.result() == http::status::ok) return Outcome::kOk;
   const bool turned_away = answer.result() == http::status::service_unavailable ||
                            answer.result() == http::status::gateway_timeout;
-  return turned_away && answer["X-Never-Ran"] == "1" ? Outcome::kFull : Outcome::kError;
+  return turned_away && answer["X-Never-Ran"] == "1" ? Outcome::kOverloaded : Outcome::kError;
 }
 
 AttemptResult result_of(const ResponseParser::value_type& answer) {
@@ -86,7 +86,7 @@
   const auto load = answer["Endpoint-Load-Metrics"];
   result.load = parse_load({load.data(), load.size()});
   const auto billed = answer["Billed-Units"];
-  result.billed = parse_billed({billed.data(), billed.size()});
+  result.billed_units = parse_billed({billed.data(), billed.size()});
   return result;
 }
 
@@ -107,14 +107,14 @@
   Connection(asio::io_context& io, BodyBudget& budget) : socket(io), share(budget) {}
   enum class State { kConnecting, kWriting, kWaiting, kIdle, kClosed };
   State state = State::kConnecting;
-  std::string server;
+  std::string endpoint;
   tcp::endpoint address;
   tcp::socket socket;
   AttemptKey attempt;
   std::string head;  // up to the time that its server is told
   std::string out, pending, body;
   Micros until = 0;  // the attempt may take
-  std::shared_ptr<Upload> upload;
+  std::shared_ptr<BodyUpload> upload;
   std::optional<ResponseParser> parser;
   BodyBudget::Share share;
   std::uint64_t passed = 0;  // bytes of the answer that went on to the client
@@ -130,39 +130,39 @@
 };
 
 Upstream::Upstream(asio::io_context& io, Timers& timers, const Clock& clock, UpstreamLimits limits,
-                   BodyBudget& budget, Calls calls)
+                   BodyBudget& budget, Callbacks callbacks)
     : io_(io),
       timers_(timers),
       clock_(clock),
       limits_(limits),
       budget_(budget),
-      calls_(std::move(calls)),
+      callbacks_(std::move(callbacks)),
       chunk_(kReadSize) {
   sweep();
 }
 Upstream::~Upstream() = default;
 
-void Upstream::update(const MemberList& list) {
+void Upstream::update_endpoints(const DiscoveryUpdate& list) {
   if (list.complete) {
     std::set<std::string> listed;
-    for (const Member& m : list.members) listed.insert(m.entry.server);
+    for (const DiscoveredEndpoint& m : list.endpoints) listed.insert(m.entry.endpoint);
     for (auto it = pools_.begin(); it != pools_.end();) {
       if (!listed.count(it->first)) drop_idle(it->second);
       it = listed.count(it->first) ? std::next(it) : pools_.erase(it);
     }
   }
-  for (const Member& m : list.members) {
-    if (m.entry.state == ServerState::kRemoved) {
-      if (const auto it = pools_.find(m.entry.server); it != pools_.end()) {
+  for (const DiscoveredEndpoint& m : list.endpoints) {
+    if (m.entry.state == EndpointState::kRemoved) {
+      if (const auto it = pools_.find(m.entry.endpoint); it != pools_.end()) {
         drop_idle(it->second);
         pools_.erase(it);
       }
       continue;
     }
-    Pool& pool = pools_[m.entry.server];
+    Pool& pool = pools_[m.entry.endpoint];
     const bool told_address = m.address.port() != 0;
     const bool other = m.entry.started_at != pool.started_at || (told_address && m.address != pool.address);
-    pool.up = m.entry.state == ServerState::kUp && told_address;
+    pool.up = m.entry.state == EndpointState::kUp && told_address;
     pool.started_at = m.entry.started_at;
     if (told_address) pool.address = m.address;
     // Danger: connections to a process that is gone may stay open and silent.
@@ -170,7 +170,7 @@
   }
 }
 
-void Upstream::disable(const std::string& server, bool disabled) {
+void Upstream::set_disabled(const std::string& server, bool disabled) {
   disabled ? disabled_.insert(server).second : disabled_.erase(server) > 0;
   const auto found = pools_.find(server);
   if (found == pools_.end()) return;
@@ -186,7 +186,7 @@
   return found != pools_.end() && found->second.up && !disabled_.count(server) ? &found->second : nullptr;
 }
 
-void Upstream::send(AttemptKey key, const std::string& server, const Outgoing& what, Micros until) {
+void Upstream::send(AttemptKey key, const std::string& server, const OutgoingRequest& what, Micros until) {
   Pool* const pool = open_pool(server);
   if (!pool) return end_later(key, Outcome::kNotSent);
   Held c = take_idle(*pool);
@@ -194,7 +194,7 @@
   if (fresh) {
     if (!make_room()) return end_later(key, Outcome::kNotSent);
     c = std::make_shared<Connection>(io_, budget_);
-    c->server = server;
+    c->endpoint = server;
     c->address = pool->address;
     ++open_;
   }
@@ -204,7 +204,7 @@
   c->head.clear();
   c->head.append(what.method).append(" ").append(what.target).append(" HTTP/1.1\r\nHost: ").append(what.host);
   c->head.append("\r\nX-Trace-Id: ").append(what.trace_id);
-  if (!what.key.empty()) c->head.append("\r\nIdempotency-Key: ").append(what.key);
+  if (!what.idempotency_key.empty()) c->head.append("\r\nIdempotency-Key: ").append(what.idempotency_key);
   c->out.clear();
   const bool chunked = c->upload && !c->upload->length();
   if (chunked)
@@ -222,7 +222,7 @@
   return c.head + "\r\nX-Expires-In: " + std::to_string(c.until - clock_.now()) + "u";
 }
 
-bool Upstream::abandon(AttemptKey key) {
+bool Upstream::cancel(AttemptKey key) {
   const auto it = attempts_.find(key);
   if (it == attempts_.end()) return false;
   const Held c = it->second;
@@ -235,11 +235,11 @@
   return written;
 }
 
-bool Upstream::withdraw(AttemptKey key) {
+bool Upstream::cancel_unless_written(AttemptKey key) {
   const auto it = attempts_.find(key);
   if (it == attempts_.end() || it->second->state == Connection::State::kWaiting || it->second->begun)
     return false;
-  abandon(key);
+  cancel(key);
   return true;
 }
 
@@ -250,7 +250,7 @@
     const Held c = pool.idle[i];
     const Micros stood = clock_.now() - c->idle_since;
     const bool open = nothing_to_read(c->socket.native_handle());
-    if (!open || double(stood) >= kIdleShare * double(limits_.idle)) {
+    if (!open || double(stood) >= kIdleShare * double(limits_.idle_timeout)) {
       drop(*c);  // closed by the server, or about to be
     } else if (stood >= kSettle) {
       forget_idle(*c);
@@ -261,7 +261,7 @@
 }
 
 bool Upstream::make_room() {
-  if (open_ < limits_.connections) return true;
+  if (open_ < limits_.max_connections) return true;
   Pool* oldest = nullptr;
   for (auto& [id, pool] : pools_)
     if (!pool.idle.empty() && (!oldest || pool.idle.front()->idle_since < oldest->idle.front()->idle_since))
@@ -273,7 +273,7 @@
 
 void Upstream::connect(const Held& c) {
   dial(c);
-  timers_.after(limits_.dial_timeout, [this, weak = std::weak_ptr<Connection>(c)] {
+  timers_.schedule_after(limits_.connect_timeout, [this, weak = std::weak_ptr<Connection>(c)] {
     const Held c = weak.lock();
     if (!c || c->state != Connection::State::kConnecting) return;
     end(c, {c->failed_here ? Outcome::kNotSent : Outcome::kConnectFailed, {}, {}}, false);
@@ -296,7 +296,7 @@
   if (c->state != Connection::State::kConnecting) return;
   // Danger: the server may have been told off, or moved, while the connect was under way; and the request's
   // time may be over.
-  const Pool* const pool = open_pool(c->server);
+  const Pool* const pool = open_pool(c->endpoint);
   if (!pool || pool->address != c->address || c->until <= clock_.now())
     return end(c, {Outcome::kNotSent, {}, {}}, false);
   error_code ignored;
@@ -310,7 +310,7 @@
   error_code ignored;
   c->socket.close(ignored);
   c->failed_here = true;
-  timers_.after(kDialAgain, [this, weak = std::weak_ptr<Connection>(c)] {
+  timers_.schedule_after(kDialAgain, [this, weak = std::weak_ptr<Connection>(c)] {
     const Held c = weak.lock();
     if (c && c->state == Connection::State::kConnecting) dial(c);
   });
@@ -320,7 +320,7 @@
   c.parser.emplace();
   c.parser->eager(true);
   c.parser->header_limit(kMostHeader);
-  c.parser->body_limit(kMostBody);
+  c.parser->body_limit(kMaxBodySize);
 }
 
 void Upstream::write(const Held& c) {
@@ -356,20 +356,20 @@
   if (!c->last) return pump(c);
   c->state = Connection::State::kWaiting;
   c->upload.reset();
-  calls_.wrote();
+  callbacks_.on_request_written();
 }
 
 void Upstream::pump(const Held& c) {
-  Upload& upload = *c->upload;
-  if (upload.size() == 0 && !upload.finished()) {
-    upload.wait([this, weak = std::weak_ptr<Connection>(c), key = c->attempt] {
+  BodyUpload& upload = *c->upload;
+  if (upload.size() == 0 && !upload.is_finished()) {
+    upload.wait_for_data([this, weak = std::weak_ptr<Connection>(c), key = c->attempt] {
       const Held c = weak.lock();
       if (c && c->state == Connection::State::kWriting && c->attempt == key) pump(c);
     });
     return;
   }
-  c->out = upload.take();
-  c->last = upload.finished();
+  c->out = upload.take_data();
+  c->last = upload.is_finished();
   if (!upload.length()) {
     char size[24];
     std::snprintf(size, sizeof size, "%zx\r\n", c->out.size());
@@ -423,7 +423,7 @@
   if (c->begun && !c->body.empty()) {
     c->passed += c->body.size();
     c->paused = true;
-    calls_.piece(c->attempt, std::exchange(c->body, {}));
+    callbacks_.on_response_chunk(c->attempt, std::exchange(c->body, {}));
     if (c->state == Connection::State::kClosed) return;
   }
   if (c->parser->is_done()) answered(c);
@@ -435,13 +435,14 @@
   // Danger: the parser's own limit lets an announced length pass, and a server may go on sending for ever.
   const auto length = c->parser->content_length();
   const std::uint64_t size = std::max<std::uint64_t>(length.value_or(0), c->passed + c->body.size());
-  if (size > kMostBody) {
+  if (size > kMaxBodySize) {
     end(c, {Outcome::kReset, {}, {}}, false);
     return false;
   }
   if (c->begun) return true;
   c->share.set(c->body.size());
-  if (size <= budget_.whole() || (c->parser->is_done() && size <= kWhole)) return true;
+  if (size <= budget_.buffered_body_limit() || (c->parser->is_done() && size <= kBufferedBodyLimit))
+    return true;
   AttemptResult head = result_of(c->parser->get());
   if (head.outcome != Outcome::kOk) {
     end(c, std::move(head), false);
@@ -449,11 +450,12 @@
   }
   c->begun = true;
   c->share.set(0);
-  calls_.begun(c->attempt, head, length ? std::optional<std::uint64_t>(*length) : std::nullopt);
+  callbacks_.on_response_started(c->attempt, head,
+                                 length ? std::optional<std::uint64_t>(*length) : std::nullopt);
   return c->state != Connection::State::kClosed;
 }
 
-void Upstream::more(AttemptKey key) {
+void Upstream::request_more(AttemptKey key) {
   const auto it = attempts_.find(key);
   if (it == attempts_.end()) return;
   const Held c = it->second;
@@ -462,7 +464,7 @@
   read(c);
 }
 
-Micros Upstream::heard(AttemptKey key) const {
+Micros Upstream::last_progress_at(AttemptKey key) const {
   const auto it = attempts_.find(key);
   if (it == attempts_.end()) return 0;
   const Connection& c = *it->second;
@@ -493,7 +495,7 @@
 void Upstream::end(const Held& c, AttemptResult result, bool keep) {
   const AttemptKey key = c->attempt;
   attempts_.erase(key);
-  Pool* const pool = open_pool(c->server);
+  Pool* const pool = open_pool(c->endpoint);
   if (keep && pool && pool->address == c->address) {
     c->state = Connection::State::kIdle;
     c->idle_since = clock_.now();
@@ -506,7 +508,7 @@
   c->upload.reset();
   c->share.set(0);
   c->body = {};
-  calls_.ended(key, std::move(result));
+  callbacks_.on_attempt_ended(key, std::move(result));
 }
 
 void Upstream::drop(Connection& c) {
@@ -519,22 +521,22 @@
 }
 
 void Upstream::forget_idle(Connection& c) {
-  auto& idle = pools_[c.server].idle;
+  auto& idle = pools_[c.endpoint].idle;
   idle.erase(std::remove_if(idle.begin(), idle.end(), [&](const Held& h) { return h.get() == &c; }),
              idle.end());
 }
 
 void Upstream::end_later(AttemptKey key, Outcome outcome) {
-  asio::post(io_, [this, key, outcome] { calls_.ended(key, {outcome, {}, {}}); });
+  asio::post(io_, [this, key, outcome] { callbacks_.on_attempt_ended(key, {outcome, {}, {}}); });
 }
 
 void Upstream::sweep() {
   const Micros now = clock_.now();
   for (auto& [id, pool] : pools_)
     while (!pool.idle.empty() &&
-           double(now - pool.idle.front()->idle_since) >= kIdleShare * double(limits_.idle))
+           double(now - pool.idle.front()->idle_since) >= kIdleShare * double(limits_.idle_timeout))
       drop(*Held(pool.idle.front()));
-  timers_.after(kSweep, [this] { sweep(); });
+  timers_.schedule_after(kSweep, [this] { sweep(); });
 }
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/src/net/upstream.hpp
+++ b/src/upstream/upstream.hpp
@@ -11,23 +11,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "body.hpp"
-#include "cottonroad/gateway.hpp"
-#include "discovery.hpp"
-#include "timers.hpp"
+#include "discovery/discovery_client.hpp"
+#include "network/body_transfer.hpp"
+#include "network/outgoing_request.hpp"
+#include "quota_gateway/decision_engine.hpp"
+#include "runtime/timers.hpp"
 
-namespace cottonroad::net {
-
-// What goes on to a server, the same for each attempt of a request.
-struct Outgoing {
-  std::string method, target, host, trace_id, key, body;
-  std::shared_ptr<Upload> upload;  // in place of a body that is too large to hold
-};
+namespace quota_gateway::net {
 
 struct UpstreamLimits {
-  Micros idle = 15'000'000;  // a server closes what has idled for so long
-  Micros dial_timeout = 250'000;
-  std::size_t connections = 400;
+  Micros idle_timeout = 15'000'000;  // a server closes what has idled for so long
+  Micros connect_timeout = 250'000;
+  std::size_t max_connections = 400;
 };
 
 struct AttemptKey {
@@ -44,38 +39,39 @@
 struct AttemptResult {
   Outcome outcome = Outcome::kReset;
   LoadReport load;
-  std::string body;   // of a kOk that was held whole
-  double billed = 0;  // the request's true units; 0: not said
+  std::string body;         // of a kOk that was held whole
+  double billed_units = 0;  // the request's true units; 0: not said
 };
 
 class Upstream {
  public:
-  struct Calls {
-    std::function<void(AttemptKey, AttemptResult)> ended;
-    std::function<void()> wrote;  // the last byte of an attempt, once
+  struct Callbacks {
+    std::function<void(AttemptKey, AttemptResult)> on_attempt_ended;
+    std::function<void()> on_request_written;  // the last byte of an attempt, once
     // A good answer too large to hold has begun, with `length` unless that is unknown. Its pieces follow,
     // each but the first after a call of `more`, and then its end.
-    std::function<void(AttemptKey, const AttemptResult&, std::optional<std::uint64_t> length)> begun;
-    std::function<void(AttemptKey, std::string bytes)> piece;
+    std::function<void(AttemptKey, const AttemptResult&, std::optional<std::uint64_t> length)>
+        on_response_started;
+    std::function<void(AttemptKey, std::string bytes)> on_response_chunk;
   };
   Upstream(boost::asio::io_context& io, Timers& timers, const Clock& clock, UpstreamLimits limits,
-           BodyBudget& budget, Calls calls);
+           BodyBudget& budget, Callbacks callbacks);
   ~Upstream();
 
-  void update(const MemberList& list);
+  void update_endpoints(const DiscoveryUpdate& list);
   // Nothing more goes to a server disabled by hand, whatever the list says, until it is enabled.
-  void disable(const std::string& server, bool disabled);
-  bool knows(const std::string& server) const { return pools_.count(server) > 0; }
+  void set_disabled(const std::string& server, bool disabled);
+  bool is_known(const std::string& server) const { return pools_.count(server) > 0; }
   // One result follows, never from within this call, unless the attempt is abandoned.
-  void send(AttemptKey key, const std::string& server, const Outgoing& what, Micros until);
+  void send(AttemptKey key, const std::string& server, const OutgoingRequest& what, Micros until);
   // Closes the attempt's connection. True if its last byte may have been written.
-  bool abandon(AttemptKey key);
+  bool cancel(AttemptKey key);
   // The same, but only if its last byte is not written yet. True if so.
-  bool withdraw(AttemptKey key);
+  bool cancel_unless_written(AttemptKey key);
   // The client has taken what there was of an answer that has begun.
-  void more(AttemptKey key);
+  void request_more(AttemptKey key);
   // When its server last gave something of it; now, while that is not asked for more or more lies unread.
-  Micros heard(AttemptKey key) const;
+  Micros last_progress_at(AttemptKey key) const;
 
  private:
   class Connection;
@@ -115,7 +111,7 @@
   const Clock& clock_;
   const UpstreamLimits limits_;
   BodyBudget& budget_;
-  const Calls calls_;
+  const Callbacks callbacks_;
   std::vector<char> chunk_;  // what was just read, of any connection
   std::map<std::string, Pool> pools_;
   std::set<std::string> disabled_;
@@ -123,4 +119,4 @@
   std::size_t open_ = 0;
 };
 
-}  // namespace cottonroad::net
+}  // namespace quota_gateway::net
--- a/tests/codec_test.cpp
+++ b/tests/adapter/codec_test.cpp
@@ -1,17 +1,17 @@
-#include "codec.hpp"
+#include "adapter/codec.hpp"
 
 #include <gtest/gtest.h>
 
-namespace cottonroad::wire {
+namespace quota_gateway::wire {
 namespace {
 
 TEST(Codec, EmptyBatchHasAnEmptyReply) {
-  Host host;
+  SimulatorHost host;
   EXPECT_EQ(*host.answer(R"({"ClockUs":1,"parts":[]})"), R"({"parts":[]})");
 }
 
 TEST(Codec, WrongShapeThrows) {
-  Host host;
+  SimulatorHost host;
   EXPECT_ANY_THROW(host.answer("[]"));
   EXPECT_ANY_THROW(host.answer("{"));
   EXPECT_ANY_THROW(host.answer(R"({"ClockUs":1,"parts":[{"Who":"gateway-0","input":[{"what":"Knock"}]}]})"));
@@ -26,14 +26,14 @@
     "Limits":{"MaxAttempts":4,"MayCancel":true},"Extra":{"SharedCounter":true,"CounterTimeoutUs":80000},
     "Obligations":{"ColdShare":0.2,"TipMultiple":4.0,"TipAfterUs":3000000}})"));
   EXPECT_EQ(s.zone, "z");
-  EXPECT_EQ(s.gateways, 3);
-  EXPECT_EQ(s.classes.at(0).repeat, Repeat::kKeyed);
+  EXPECT_EQ(s.gateway_count, 3);
+  EXPECT_EQ(s.classes.at(0).idempotency, Idempotency::kByKey);
   EXPECT_EQ(s.classes[0].dedup_scope, DedupScope::kZone);
   EXPECT_EQ(s.classes[0].dedup_window, 7);
   EXPECT_DOUBLE_EQ(s.plans.at(0).rate, 4.2);
-  EXPECT_EQ(s.plans[0].max_open, 2);
-  EXPECT_TRUE(s.has_counter && s.may_cancel);
-  EXPECT_EQ(s.cold_window, 3000000);
+  EXPECT_EQ(s.plans[0].max_concurrent_attempts, 2);
+  EXPECT_TRUE(s.has_counter && s.allow_cancel);
+  EXPECT_EQ(s.slow_start_window, 3000000);
 }
 
 TEST(Codec, EventsAreRead) {
@@ -44,22 +44,22 @@
   const auto& a = std::get<AttemptEnded>(*e);
   EXPECT_EQ(a.attempt, 1);
   EXPECT_EQ(a.outcome, Outcome::kReset);
-  EXPECT_EQ(a.meter, 86);
+  EXPECT_EQ(a.quota_meter, 86);
   EXPECT_DOUBLE_EQ(a.load.in_flight, 7);
   EXPECT_LT(a.load.queued, 0);
   EXPECT_FALSE(parse_event(Json::parse(R"({"what":"Datagram","From":1,"Raw":"00"})"), {}).has_value());
 }
 
 TEST(Codec, ActionsAreWritten) {
-  EXPECT_EQ(write_action(Refuse{"t/a", 0}), Json::parse(R"({"what":"Reject","Id":"t/a"})"));
+  EXPECT_EQ(write_action(RejectRequest{"t/a", 0}), Json::parse(R"({"what":"Reject","Id":"t/a"})"));
   EXPECT_EQ(write_action(SendAttempt{"t/a", "s", 5}),
             Json::parse(R"({"what":"Send","Id":"t/a","Server":"s","TryForUs":5})"));
-  EXPECT_EQ(write_action(AddToCounter{9, 4, 3}),
+  EXPECT_EQ(write_action(IncrementCounter{9, 4, 3}),
             Json::parse(R"({"what":"Tally","Cname":9,"Amount":4.0,"ForgetAfterUs":3})"));
 }
 
-TEST(Host, AKilledInstanceForgetsAndListsAreResolvedInOrder) {
-  Host host;
+TEST(SimulatorHost, AKilledInstanceForgetsAndListsAreResolvedInOrder) {
+  SimulatorHost host;
   EXPECT_FALSE(host.answer(R"({"what":"Pool","List":0,"Entries":[{"Server":"s1"}]})").has_value());
   const std::string reply = *host.answer(R"({"ClockUs":1,"parts":[{"Who":"gateway-0","input":[
     {"what":"Enlist","Entropy":5,"Info":{}},{"what":"DirectoryUpdate","Kind":"Persisted","SeqNo":1,"List":0},
@@ -70,4 +70,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::wire
+}  // namespace quota_gateway::wire
--- a/tests/net/admin_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -5,18 +5,18 @@
 
 #include <fstream>
 
-#include "loopback.hpp"
+#include "support/loopback.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
 class AdminTest : public ::testing::Test {
  protected:
   AdminTest() {
-    rig.config.admin = {asio::ip::address_v4::loopback(), 0};
+    rig.config.admin_address = {asio::ip::address_v4::loopback(), 0};
     rig.know(member("s1", s1));
   }
-  Client caller() { return {rig.io, rig.driver->admin_address()}; }
+  Client caller() { return {rig.io, rig.coordinator->admin_address()}; }
   http::response<http::string_body> call(const std::string& method, const std::string& target) {
     Client c = caller();
     c.send(method + " " + target + " HTTP/1.1\r\nHost: n0\r\n\r\n");
@@ -30,9 +30,9 @@
 };
 
 TEST_F(AdminTest, SaysReadyUntilItDrains) {
-  Driver& driver = rig.start();
+  Coordinator& coordinator = rig.start();
   EXPECT_EQ(call("GET", "/-/ready").result_int(), 200u);
-  driver.drain([] {});
+  coordinator.drain([] {});
   EXPECT_EQ(call("GET", "/-/ready").result_int(), 503u);
 }
 
@@ -55,7 +55,7 @@
   rig.start();
   std::deque<Client> stalled;
   for (int i = 0; i < 50; ++i) {
-    stalled.emplace_back(rig.io, rig.driver->admin_address());
+    stalled.emplace_back(rig.io, rig.coordinator->admin_address());
     stalled.back().send("GET /-/rea");
   }
   EXPECT_EQ(call("GET", "/-/ready").result_int(), 200u);
@@ -122,19 +122,19 @@
 }
 
 TEST_F(AdminTest, ServersTakenOutByHandOutliveTheProcessAndBindTheOtherOneAndATornFileChangesNothing) {
-  char name[] = "/tmp/cottonroad-test-XXXXXX";
+  char name[] = "/tmp/quota-gateway-test-XXXXXX";
   ASSERT_NE(::mkdtemp(name), nullptr);
   const std::string file = std::string(name) + "/disabled.json";
   rig.config.shared_directory = name;
   rig.start();
   EXPECT_EQ(call("POST", "/-/booking-servers/s1/disable").result_int(), 200u);
-  rig.driver.reset();
+  rig.coordinator.reset();
   rig.start();
   EXPECT_EQ(figures()["skipped_booking_servers"], 1);
   std::vector<std::pair<std::string, bool>> told;
   Clock clock;
   Timers timers(rig.io, clock);
-  Disabled other(timers, name, [&](const std::string& id, bool out) { told.emplace_back(id, out); });
+  DisabledEndpoints other(timers, name, [&](const std::string& id, bool out) { told.emplace_back(id, out); });
   other.start();
   ASSERT_EQ(told.size(), 1u);
   std::ofstream(file) << "[\"s1";
@@ -146,4 +146,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/net/body_test.cpp
+++ b/tests/client/body_transfer_test.cpp
@@ -2,9 +2,9 @@
 // nothing.
 #include <gtest/gtest.h>
 
-#include "loopback.hpp"
+#include "support/loopback.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
 class BodyTest : public ::testing::Test {
@@ -12,7 +12,7 @@
   BodyTest() {
     rig.know(member("s1", s1));
     // Here servers answer within a millisecond; one that then takes ten would be left as stalled.
-    rig.config.settings.may_cancel = false;
+    rig.config.settings.allow_cancel = false;
   }
   static std::string text(std::size_t size) {
     std::string out(size, 'x');
@@ -219,7 +219,7 @@
 
 TEST_F(BodyTest, ALargeRequestBeyondTheQuotaIsRefusedBeforeItsBodyComes) {
   rig.config.settings.plans[0].rate = rig.config.settings.plans[0].burst = 1;
-  rig.config.settings.gateways = 1;
+  rig.config.settings.gateway_count = 1;
   rig.start();
   Client c = rig.client(), other = rig.client();
   other.send(get("a"));
@@ -250,13 +250,13 @@
 }
 
 // A server that takes a large body late or never, and a client that has sent all of it at once.
-class UntakenBodyTest : public BodyTest {
+class UnreadBodyTest : public BodyTest {
  protected:
-  UntakenBodyTest() { rig.config.dial_timeout = 60'000'000; }
+  UnreadBodyTest() { rig.config.connect_timeout = 60'000'000; }
   void starts_with(const tcp::acceptor& server) {
-    Member m = member("s2", s1);
+    DiscoveredEndpoint m = member("s2", s1);
     m.address = server.local_endpoint();
-    rig.config.known.members = {m};
+    rig.config.initial_endpoints.endpoints = {m};
     rig.start();
     rig.clock.stop();
     c.emplace(rig.client());
@@ -281,12 +281,12 @@
   std::optional<Client> c;
 };
 
-TEST_F(UntakenBodyTest, EndsInTheTimeOfItsLastByteWhereItsServerHangs) {
+TEST_F(UnreadBodyTest, EndsInTheTimeOfItsLastByteWhereItsServerHangs) {
   starts_with(server);
   is_told_in_its_time(20'000);
 }
 
-TEST_F(UntakenBodyTest, EndsInTheTimeOfItsLastByteWhereNoConnectionComesUp) {
+TEST_F(UnreadBodyTest, EndsInTheTimeOfItsLastByteWhereNoConnectionComesUp) {
   server.listen(0);
   tcp::socket filler(rig.io);
   filler.connect(server.local_endpoint());
@@ -294,7 +294,7 @@
   is_told_in_its_time(20'000);
 }
 
-TEST_F(UntakenBodyTest, EndsInTheTimeOfItsLastByteWhereItIsTakenLateAndNotAnswered) {
+TEST_F(UnreadBodyTest, EndsInTheTimeOfItsLastByteWhereItIsTakenLateAndNotAnswered) {
   std::shared_ptr<Peer> peer;
   std::size_t got = 0;
   tcp::socket accepted(rig.io);
@@ -310,13 +310,13 @@
   is_told_in_its_time(3'020'000);
 }
 
-TEST_F(UntakenBodyTest, IsServedThoughItsServerTakesLongerThanTheClientWaitsFromItsLastByteOn) {
+TEST_F(UnreadBodyTest, IsServedThoughItsServerTakesLongerThanTheClientWaitsFromItsLastByteOn) {
   const std::string large = upload("a", length(16 << 20)) + text(16 << 20);
   tcp::socket accepted(rig.io);
   server.async_accept(accepted, [](error_code) {});
-  Member m = member("s2", s1);
+  DiscoveredEndpoint m = member("s2", s1);
   m.address = server.local_endpoint();
-  rig.config.known.members = {m};
+  rig.config.initial_endpoints.endpoints = {m};
   rig.start();
   rig.clock.stop();
   c.emplace(rig.client());
@@ -338,11 +338,11 @@
   EXPECT_EQ(status(*c), 200);
 }
 
-TEST_F(UntakenBodyTest, IsWaitedForWhileTheClientHasYetToSendMoreThanItsKernelHolds) {
-  rig.config.known.members = {};
-  Member m = member("s2", s1);
+TEST_F(UnreadBodyTest, IsWaitedForWhileTheClientHasYetToSendMoreThanItsKernelHolds) {
+  rig.config.initial_endpoints.endpoints = {};
+  DiscoveredEndpoint m = member("s2", s1);
   m.address = server.local_endpoint();
-  rig.config.known.members = {m};
+  rig.config.initial_endpoints.endpoints = {m};
   rig.start();
   rig.clock.stop();
   Client slow = rig.client();
@@ -369,13 +369,13 @@
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 1'000'000;
   rig.config.counter = counter.address();
-  rig.config.sockets = 64;
+  rig.config.max_sockets = 64;
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
   const auto at = rig.discovery.address();
   rig.discovery.stop();
   std::deque<Client> idle;
-  for (int i = 0; i < 200; ++i) idle.emplace_back(rig.io, rig.driver->address());
+  for (int i = 0; i < 200; ++i) idle.emplace_back(rig.io, rig.coordinator->address());
   EXPECT_TRUE(idle.front().ended());  // all that clients may take is taken
   Client c = rig.client();
   c.send(get("a"));
@@ -392,13 +392,13 @@
 }
 
 TEST_F(BodyTest, ACrowdThatAsksForNothingKeepsNobodyOut) {
-  rig.config.sockets = 64;
+  rig.config.max_sockets = 64;
   rig.start();
   Client slow = rig.client();
   slow.send(get("slow").substr(0, 60));
   std::deque<Client> crowd;
   for (int i = 0; i < 60; ++i) {
-    crowd.emplace_back(rig.io, rig.driver->address());
+    crowd.emplace_back(rig.io, rig.coordinator->address());
     if (i % 10 != 9) continue;
     Client c = rig.client();
     c.send(get("t" + std::to_string(i)));
@@ -410,4 +410,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/net/gone_test.cpp
+++ b/tests/client/client_disconnect_test.cpp
@@ -2,21 +2,21 @@
 // afterwards.
 #include <sys/file.h>
 
-#include "loopback.hpp"
-#include "process.hpp"
+#include "support/loopback.hpp"
+#include "support/process.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
 constexpr int kAfter = 100;  // ms after the client has left
 
 // With cancels allowed and not.
-class GoneTest : public ::testing::TestWithParam<bool> {
+class ClientDisconnectTest : public ::testing::TestWithParam<bool> {
  protected:
-  GoneTest() {
-    rig.config.settings.may_cancel = GetParam();
+  ClientDisconnectTest() {
+    rig.config.settings.allow_cancel = GetParam();
     for (ClassSettings& c : rig.config.settings.classes)
-      c.aim = 3'000'000;  // a quarter of which may be waited
+      c.latency_objective = 3'000'000;  // a quarter of which may be waited
   }
   // Whoever comes now is served, and alone.
   void only_the_next_is_sent_on(FakeServer& server) {
@@ -35,9 +35,9 @@
   Rig rig;
   FakeServer s1{rig.io};
 };
-INSTANTIATE_TEST_SUITE_P(Cancels, GoneTest, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(Cancels, ClientDisconnectTest, ::testing::Bool());
 
-TEST_P(GoneTest, WhileItWaitedForAServer) {
+TEST_P(ClientDisconnectTest, WhileItWaitedForAServer) {
   rig.discovery.first = "\n";
   rig.start();  // knows no server
   {
@@ -51,7 +51,7 @@
   only_the_next_is_sent_on(s1);
 }
 
-TEST_P(GoneTest, WhileItWaitedForTheCounter) {
+TEST_P(ClientDisconnectTest, WhileItWaitedForTheCounter) {
   FakeCounter counter(rig.io);
   counter.silent = true;
   rig.config.settings.has_counter = true;
@@ -71,16 +71,16 @@
   only_the_next_is_sent_on(s1);
 }
 
-void GoneTest::leaves_while_a_connection_comes_up(const std::string& request) {
+void ClientDisconnectTest::leaves_while_a_connection_comes_up(const std::string& request) {
   // The server's line is full, and taken from only after the client has left; the kernel then tries again.
   tcp::acceptor full(rig.io, {asio::ip::address_v4::loopback(), 0}, true);
   full.listen(0);
   tcp::socket filler(rig.io);
   filler.connect(full.local_endpoint());
-  Member m = member("s1", s1);
+  DiscoveredEndpoint m = member("s1", s1);
   m.address = full.local_endpoint();
   rig.know(m);
-  rig.config.dial_timeout = 3'500'000;
+  rig.config.connect_timeout = 3'500'000;
   rig.start();
   {
     Client c = rig.client();
@@ -103,9 +103,9 @@
   full.close();
 }
 
-TEST_P(GoneTest, WhileAConnectionCameUpLate) { leaves_while_a_connection_comes_up(post("left")); }
+TEST_P(ClientDisconnectTest, WhileAConnectionCameUpLate) { leaves_while_a_connection_comes_up(post("left")); }
 
-TEST_P(GoneTest, BetweenTwoAttempts) {
+TEST_P(ClientDisconnectTest, BetweenTwoAttempts) {
   FakeServer busy(rig.io);
   busy.on_request = [](Peer& p, const Request_&) { p.write(reply("503 No", "X-Never-Ran: 1\r\n")); };
   rig.know(member("s0", busy));
@@ -128,7 +128,7 @@
   EXPECT_EQ(s1.requests[0]["X-Trace-Id"], "stays");
 }
 
-TEST_P(GoneTest, BehindABodyThatNoServerTakesYet) {
+TEST_P(ClientDisconnectTest, BehindABodyThatNoServerTakesYet) {
   // Guards against a client that goes unseen, as the end of its large body was left unread.
   rig.start();  // knows no server
   {
@@ -143,11 +143,11 @@
   only_the_next_is_sent_on(s1);
 }
 
-TEST_P(GoneTest, BehindABodyWhoseConnectionCameUpLate) {
+TEST_P(ClientDisconnectTest, BehindABodyWhoseConnectionCameUpLate) {
   leaves_while_a_connection_comes_up(upload("left") + std::string(100'000, 'x'));
 }
 
-TEST_P(GoneTest, BehindItsRequest) {
+TEST_P(ClientDisconnectTest, BehindItsRequest) {
   // Guards against a request sent on though its client's end was there to be read with it.
   rig.know(member("s1", s1));
   rig.start();
@@ -158,7 +158,7 @@
   only_the_next_is_sent_on(s1);
 }
 
-TEST_P(GoneTest, HavingSentMoreThanIsReadAhead) {
+TEST_P(ClientDisconnectTest, HavingSentMoreThanIsReadAhead) {
   // Guards against a client that goes unseen, as what it sent ahead was left unread.
   rig.start();  // knows no server
   {
@@ -172,7 +172,7 @@
   only_the_next_is_sent_on(s1);
 }
 
-TEST_P(GoneTest, HavingSentMoreThanIsReadAheadAClientThatStaysHasItsAnswer) {
+TEST_P(ClientDisconnectTest, HavingSentMoreThanIsReadAheadAClientThatStaysHasItsAnswer) {
   rig.know(member("s1", s1));
   std::shared_ptr<Peer> held;
   s1.on_request = [&](Peer& p, const Request_&) { held = p.shared_from_this(); };
@@ -189,13 +189,13 @@
 }
 
 // An attempt sent in the batch in which its client goes must be told as ended.
-TEST_P(GoneTest, InTheBatchThatSendsItsAttempt) {
+TEST_P(ClientDisconnectTest, InTheBatchThatSendsItsAttempt) {
   FakeCounter counter(rig.io);
   counter.silent = true;
-  rig.config.settings.gateways = 1;
+  rig.config.settings.gateway_count = 1;
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 1'000'000;
-  rig.config.settings.plans[0].max_open = 1;
+  rig.config.settings.plans[0].max_concurrent_attempts = 1;
   rig.config.counter = counter.address();
   rig.know(member("s1", s1));
   rig.start();
@@ -219,7 +219,7 @@
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
-  char shared[] = "/tmp/cottonroad-test-XXXXXX";
+  char shared[] = "/tmp/quota-gateway-test-XXXXXX";
   ASSERT_NE(::mkdtemp(shared), nullptr);
   const std::string owner = std::string(shared) + "/owner.json",
                     alive = std::string(shared) + "/alive-before";
@@ -247,4 +247,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/net/ending_test.cpp
+++ b/tests/client/shutdown_test.cpp
@@ -4,18 +4,18 @@
 
 #include <iostream>
 
-#include "process.hpp"
+#include "support/process.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
 // The clients' side alone; each request is served at once.
-class FrontendTest : public ::testing::Test {
+class ClientListenerTest : public ::testing::Test {
  protected:
-  FrontendTest() {
+  ClientListenerTest() {
     ClassSettings read;
     read.name = "profile-read";
-    read.repeat = Repeat::kSafe;
+    read.idempotency = Idempotency::kIdempotent;
     settings.classes = {read};
     front.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
   }
@@ -26,10 +26,10 @@
   std::string body = "x";  // of each answer
   int taken = 0;           // requests
   BodyBudget budget{1 << 20};
-  Frontend::Calls calls(Frontend& of) {
+  ClientListener::Callbacks callbacks(ClientListener& of) {
     return {[this, &of](std::uint64_t client, ClientRequest) {
               ++taken;
-              asio::post(io, [this, &of, client] { of.answer(client, {200, 0, body}); });
+              asio::post(io, [this, &of, client] { of.respond(client, {200, 0, body}); });
               return std::uint64_t(1);
             },
             [](std::uint64_t, Micros) {},
@@ -38,22 +38,22 @@
             [](std::uint64_t) {},
             [] {}};
   }
-  Frontend front{io, timers, clock, settings, 100, budget, calls(front)};
+  ClientListener front{io, timers, clock, settings, 100, budget, callbacks(front)};
 };
 
-TEST_F(FrontendTest, AClientBetweenRequestsWithOneUnreadIsOwedAnAnswer) {
+TEST_F(ClientListenerTest, AClientBetweenRequestsWithOneUnreadIsOwedAnAnswer) {
   Client c(io, front.address());
   c.send(get("a"));
   ASSERT_TRUE(c.receive());
-  EXPECT_TRUE(front.quiet());
+  EXPECT_TRUE(front.is_idle());
   c.send(get("b"));  // no turn of the loop between this and the look
-  EXPECT_FALSE(front.quiet());
+  EXPECT_FALSE(front.is_idle());
   front.drain();
-  EXPECT_FALSE(front.quiet());
+  EXPECT_FALSE(front.is_idle());
   EXPECT_TRUE(c.receive());
 }
 
-TEST_F(FrontendTest, WhatTheKernelHasAcceptedIsAnsweredAfterTheLastAccept) {
+TEST_F(ClientListenerTest, WhatTheKernelHasAcceptedIsAnsweredAfterTheLastAccept) {
   std::deque<Client> clients;
   for (int i = 0; i < 5; ++i) {
     clients.emplace_back(io, front.address());
@@ -64,7 +64,7 @@
   for (Client& c : clients) EXPECT_TRUE(c.receive());
 }
 
-TEST_F(FrontendTest, WhatComesAsAConnectionIsLeftIsNotReadAndTakesNoAnswerAlong) {
+TEST_F(ClientListenerTest, WhatComesAsAConnectionIsLeftIsNotReadAndTakesNoAnswerAlong) {
   // Guards against a close that bytes cross: it resets the connection, with what the client has yet to take.
   body.assign(400'000, 'x');
   Client c(io, front.address());
@@ -85,7 +85,7 @@
   EXPECT_EQ(taken, 1);
 }
 
-TEST_F(FrontendTest, ALastAnswerThatItsClientTakesSlowlyIsNotTakenAwayByWhatTheClientSends) {
+TEST_F(ClientListenerTest, ALastAnswerThatItsClientTakesSlowlyIsNotTakenAwayByWhatTheClientSends) {
   body.assign(400'000, 'x');
   front.drain();
   Client c(io, front.address());
@@ -102,8 +102,8 @@
   EXPECT_EQ(taken, 1);
 }
 
-TEST_F(FrontendTest, AClientWhoseAnswerIsNotAllTakenMakesNoRoomForAnother) {
-  Frontend small{io, timers, clock, settings, 2, budget, calls(small)};
+TEST_F(ClientListenerTest, AClientWhoseAnswerIsNotAllTakenMakesNoRoomForAnother) {
+  ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
   small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
   Client first(io, small.address()), second(io, small.address());
   body.assign(400'000, 'x');
@@ -124,9 +124,9 @@
   EXPECT_TRUE(second.ended());
 }
 
-TEST_F(FrontendTest, ThoseThatHaveTheirLastAnswerKeepNoClientWaiting) {
+TEST_F(ClientListenerTest, ThoseThatHaveTheirLastAnswerKeepNoClientWaiting) {
   // Guards against requests that wait in the backlog, their time running, behind strangers that do not close.
-  Frontend small{io, timers, clock, settings, 2, budget, calls(small)};
+  ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
   small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
   clock.stop();
   std::deque<Client> strangers;
@@ -138,15 +138,15 @@
   Client c(io, small.address());
   c.send(get("a"));
   for (int i = 0; i < 25 && taken == 0; ++i) {  // half of the second that they may linger
-    timers.after(1'000, [] {});
+    timers.schedule_after(1'000, [] {});
     clock.move(20'000);
     wait(io, 10);
   }
   EXPECT_EQ(taken, 1);
 }
 
-TEST_F(FrontendTest, AClientWithARequestUnreadMakesNoRoomForAnother) {
-  Frontend small{io, timers, clock, settings, 2, budget, calls(small)};
+TEST_F(ClientListenerTest, AClientWithARequestUnreadMakesNoRoomForAnother) {
+  ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
   small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
   Client first(io, small.address()), second(io, small.address());
   for (Client* c : {&first, &second}) {
@@ -212,12 +212,12 @@
   std::shared_ptr<Peer> held;
   s1.on_request = [&](Peer& p, const Request_&) { held = p.shared_from_this(); };
   rig.know(member("s1", s1));
-  Driver& driver = rig.start();
+  Coordinator& coordinator = rig.start();
   std::optional<Client> c(rig.client());
   c->send(post("a"));
   ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
   bool done = false;
-  driver.drain([&] { done = true; });
+  coordinator.drain([&] { done = true; });
   wait(rig.io, 1100);  // new ones are let in for 1 s
   held->write(reply("200 OK", "", "held"));
   ASSERT_TRUE(rig.until([&] { return c->socket.available() > 0; }));
@@ -234,8 +234,8 @@
   Timers timers(io, clock);
   int fired = 0;
   const Micros at = clock.now() + 1000;
-  timers.at(at, [] { throw std::runtime_error("first"); });
-  for (int i = 0; i < 3; ++i) timers.at(at, [&] { ++fired; });
+  timers.schedule_at(at, [] { throw std::runtime_error("first"); });
+  for (int i = 0; i < 3; ++i) timers.schedule_at(at, [&] { ++fired; });
   EXPECT_THROW(until(io, [&] { return fired == 3; }), std::runtime_error);
   EXPECT_TRUE(until(io, [&] { return fired == 3; }));
 }
@@ -264,7 +264,7 @@
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
-  char dir[] = "/tmp/cottonroad-test-XXXXXX";
+  char dir[] = "/tmp/quota-gateway-test-XXXXXX";
   ASSERT_NE(::mkdtemp(dir), nullptr);
   const std::string fifo = std::string(dir) + "/config", text = config(free_port(io), server, discovery);
   ASSERT_EQ(::mkfifo(fifo.c_str(), 0600), 0);
@@ -292,7 +292,7 @@
     timer.expires_after(std::chrono::milliseconds(450));
     timer.async_wait([peer = p.shared_from_this()](error_code) { peer->reset(); });
   };
-  rig.config.settings.dial_timeout = 250'000;
+  rig.config.settings.connect_timeout = 250'000;
   rig.config.settings.classes[1].dedup_window = 600'000;
   rig.know(member("s1", s1));
   rig.know(member("s2", s2));
@@ -306,4 +306,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/gateway_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -1,5 +1,5 @@
 // The module alone, through its interface, with hand-written events. Each test is named after its danger.
-#include "cottonroad/gateway.hpp"
+#include "quota_gateway/decision_engine.hpp"
 
 #include <gtest/gtest.h>
 
@@ -11,7 +11,7 @@
 #include <random>
 #include <set>
 
-namespace cottonroad {
+namespace quota_gateway {
 namespace {
 
 constexpr Micros kMs = 1'000;
@@ -23,19 +23,19 @@
   Settings s;
   ClassSettings read;
   read.name = "read";
-  read.aim = 500 * kMs;
-  read.deadline = 2 * kS;
-  read.repeat = Repeat::kSafe;
+  read.latency_objective = 500 * kMs;
+  read.client_timeout = 2 * kS;
+  read.idempotency = Idempotency::kIdempotent;
   s.classes.push_back(read);
   PlanSettings plan;
   plan.name = "plan";
   plan.rate = 10;
   plan.burst = 20;
   s.plans.push_back(plan);
-  s.gateways = 2;
+  s.gateway_count = 2;
   s.max_attempts = 3;
-  s.may_cancel = true;
-  s.may_advise = true;
+  s.allow_cancel = true;
+  s.allow_retry_after = true;
   s.max_retry_after = kS;
   return s;
 }
@@ -55,20 +55,20 @@
 }
 
 // Drives one gateway, and keeps its timers.
-class Driver {
+class EngineDriver {
  public:
-  explicit Driver(Settings s = basic_settings(), std::vector<ServerEntry> servers = up({"a", "b", "c"}),
-                  std::uint64_t seed = 7)
+  explicit EngineDriver(Settings s = basic_settings(),
+                        std::vector<EndpointEntry> servers = up({"a", "b", "c"}), std::uint64_t seed = 7)
       : gateway_(std::move(s), seed) {
-    ServerListUpdate list;
+    EndpointListUpdate list;
     list.entries = std::move(servers);
     step(0, {list});
   }
-  static std::vector<ServerEntry> up(std::vector<std::string> names) {
-    std::vector<ServerEntry> out;
+  static std::vector<EndpointEntry> up(std::vector<std::string> names) {
+    std::vector<EndpointEntry> out;
     for (auto& n : names) {
-      ServerEntry e;
-      e.server = n;
+      EndpointEntry e;
+      e.endpoint = n;
       out.push_back(e);
     }
     return out;
@@ -97,11 +97,11 @@
   std::vector<Action> end(Micros now, const SendAttempt& a, Outcome o, int attempt = 0, Micros took = kMs) {
     AttemptEnded e;
     e.id = a.id;
-    e.server = a.server;
+    e.endpoint = a.endpoint;
     e.attempt = attempt;
     e.outcome = o;
     e.duration = took;
-    e.finished = o == Outcome::kOk;
+    e.request_finished = o == Outcome::kOk;
     return step(now, {e});
   }
   static RequestArrived request(const std::string& id, Micros now, double units = 1) {
@@ -112,7 +112,7 @@
     r.request_class = "read";
     r.units = units;
     r.deadline = now + 2 * kS;
-    r.set_size = 2;
+    r.gateway_set_size = 2;
     return r;
   }
   // Sends and serves requests at one instant; how many were let in.
@@ -127,18 +127,18 @@
     }
     return sent;
   }
-  Gateway& gateway() { return gateway_; }
+  DecisionEngine& gateway() { return gateway_; }
   const std::vector<Action>& log() const { return log_; }
 
  private:
-  Gateway gateway_;
+  DecisionEngine gateway_;
   std::multimap<Micros, std::int64_t> timers_;
   std::vector<Action> log_;
 };
 
 TEST(QuotaSlices, BeyondTheSliceIsRefusedEarlyWithAShortRetryAfter) {
   // Burst 20 over two gateways, nothing known: the even part.
-  Driver d;
+  EngineDriver d;
   int sent = 0, refused = 0;
   for (int i = 0; i < 25; ++i) {
     auto out = d.arrive(kMs, label("r", i));
@@ -146,7 +146,7 @@
       ++sent;
       d.end(kMs, a, Outcome::kOk);
     }
-    for (const Refuse& r : all<Refuse>(out)) {
+    for (const RejectRequest& r : all<RejectRequest>(out)) {
       ++refused;
       EXPECT_GT(r.retry_after, 0);
       EXPECT_LE(r.retry_after, 165 * kMs);  // a third of the aim
@@ -159,11 +159,11 @@
 // A counter that gateways share.
 class Totals {
  public:
-  CounterAnswered answer(const AddToCounter& call) {
-    CounterAnswered a;
+  CounterReply answer(const IncrementCounter& call) {
+    CounterReply a;
     a.name = call.name;
     a.duration = kMs;
-    a.outcome = CountOutcome::kOk;
+    a.outcome = CounterOutcome::kOk;
     a.total = totals_[call.name] += call.amount;
     return a;
   }
@@ -177,7 +177,7 @@
 class Rest {
  public:
   Rest(Totals& totals, Settings s, double others) : totals_(totals), others_(others), driver_(other(s)) {
-    set_size_ = s.gateways;
+    set_size_ = s.gateway_count;
   }
   void run(Micros now) {
     if (next_ == 0) next_ = now;
@@ -187,20 +187,20 @@
     }
   }
   void ask(Micros now) {
-    RequestArrived r = Driver::request(label("o", ++asked_), now);
-    r.set_size = set_size_;
+    RequestArrived r = EngineDriver::request(label("o", ++asked_), now);
+    r.gateway_set_size = set_size_;
     settle(now, driver_.step(now, {r}));
   }
 
  private:
   static Settings other(Settings s) {
-    s.position = 1;
+    s.gateway_index = 1;
     return s;
   }
   void settle(Micros now, std::vector<Action> todo) {
     for (std::size_t k = 0; k < todo.size(); ++k) {
       std::vector<Action> more;
-      if (const auto* call = std::get_if<AddToCounter>(&todo[k]))
+      if (const auto* call = std::get_if<IncrementCounter>(&todo[k]))
         more = driver_.step(now, {totals_.answer(*call)});
       else if (const auto* attempt = std::get_if<SendAttempt>(&todo[k]))
         more = driver_.end(now, SendAttempt(*attempt), Outcome::kOk);
@@ -209,7 +209,7 @@
   }
   Totals& totals_;
   const double others_;
-  Driver driver_;
+  EngineDriver driver_;
   int set_size_ = 2, asked_ = 0;
   Micros next_ = 0;
 };
@@ -231,7 +231,7 @@
     int sent = 0;
     for (std::size_t k = 0; k < todo.size(); ++k) {
       std::vector<Action> more;
-      if (const auto* call = std::get_if<AddToCounter>(&todo[k])) {
+      if (const auto* call = std::get_if<IncrementCounter>(&todo[k])) {
         more = driver_.step(now, {totals_.answer(*call)});
       } else if (const auto* attempt = std::get_if<SendAttempt>(&todo[k])) {
         ++sent;
@@ -242,7 +242,7 @@
     return sent;
   }
   Totals totals_;
-  Driver driver_{counted_settings()};
+  EngineDriver driver_{counted_settings()};
   Rest rest_;
 };
 
@@ -288,26 +288,26 @@
 }
 
 TEST(QuotaSlices, NoNewUseNoCalls) {
-  Driver d(counted_settings());
+  EngineDriver d(counted_settings());
   d.run(5 * kS);
-  EXPECT_TRUE(all<AddToCounter>(d.log()).empty());
+  EXPECT_TRUE(all<IncrementCounter>(d.log()).empty());
 }
 
 TEST(QuotaSlices, TheFirstRequestOfACustomerWaitsForItsTotalAndNoLongerThanATimeOut) {
-  Driver d(counted_settings());
+  EngineDriver d(counted_settings());
   auto out = d.arrive(100 * kMs, "r");
-  auto calls = all<AddToCounter>(out);
+  auto calls = all<IncrementCounter>(out);
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_GE(calls[0].amount, 1);
-  EXPECT_LE(calls[0].forget_after, 60 * kS);
+  EXPECT_LE(calls[0].ttl, 60 * kS);
   EXPECT_TRUE(all<SendAttempt>(out).empty());
   EXPECT_EQ(all<SendAttempt>(d.run(160 * kMs)).size(), 1u);  // nobody answered
 }
 
 TEST(QuotaSlices, ARequestWaitsForAFreshTotalWhereTheLastOneReadIsOld) {
-  Driver d(counted_settings());
+  EngineDriver d(counted_settings());
   Totals totals;
-  const auto call = all<AddToCounter>(d.arrive(kS, "first")).at(0);
+  const auto call = all<IncrementCounter>(d.arrive(kS, "first")).at(0);
   EXPECT_EQ(all<SendAttempt>(d.step(kS + kMs, {totals.answer(call)})).size(), 1u);
   EXPECT_EQ(all<SendAttempt>(d.arrive(2 * kS, "soon")).size(), 1u);  // its total still tells
   d.run(29 * kS);
@@ -316,22 +316,22 @@
 }
 
 TEST(QuotaSlices, ARequestMetAfterAStallNearItsDeadlineIsAnsweredAtOnce) {
-  Driver d(counted_settings());
-  RequestArrived r = Driver::request("r", kS);
+  EngineDriver d(counted_settings());
+  RequestArrived r = EngineDriver::request("r", kS);
   r.deadline = kS;  // its gateway stood still meanwhile
   auto out = d.step(kS, {r});
-  EXPECT_EQ(all<Refuse>(out).size(), 1u);
+  EXPECT_EQ(all<RejectRequest>(out).size(), 1u);
   EXPECT_TRUE(all<SendAttempt>(out).empty());
 }
 
 TEST(QuotaSlices, TheLastCallsToSpareGoToCustomersWithoutATotal) {
-  Driver d(counted_settings());
+  EngineDriver d(counted_settings());
   Totals totals;
   const auto ask = [&](Micros now, const std::string& customer) {
-    RequestArrived r = Driver::request(label(customer + "-", now), now);
+    RequestArrived r = EngineDriver::request(label(customer + "-", now), now);
     r.customer = customer;
-    const auto calls = all<AddToCounter>(d.step(now, {r}));
-    for (const AddToCounter& call : calls) d.step(now, {totals.answer(call)});
+    const auto calls = all<IncrementCounter>(d.step(now, {r}));
+    for (const IncrementCounter& call : calls) d.step(now, {totals.answer(call)});
     return calls.size();
   };
   EXPECT_EQ(ask(21 * kS / 2, "known"), 1u);
@@ -346,22 +346,22 @@
 // yet.
 TEST(QuotaSlices, DemandThatIsOnNoTotalYetIsAllowedFor) {
   Settings s = counted_settings();
-  s.gateways = 20;
-  std::vector<Driver> fleet;
-  for (int g = 0; g < s.gateways; ++g) fleet.emplace_back(s, Driver::up({"a", "b", "c"}), g + 1);
+  s.gateway_count = 20;
+  std::vector<EngineDriver> fleet;
+  for (int g = 0; g < s.gateway_count; ++g) fleet.emplace_back(s, EngineDriver::up({"a", "b", "c"}), g + 1);
   Totals totals;
   int sent = 0;
   constexpr int kAsked = 80, kFrom = 10, kSeconds = 60;  // a second, of a quota of ten; judged from then on
   for (int i = 0; i < kAsked * kSeconds; ++i) {
     const Micros now = 1000 * kS + Micros(i) * kS / kAsked;
-    Driver& d = fleet[std::size_t(i * 7 % s.gateways)];
-    RequestArrived r = Driver::request(label("r", i), now);
-    r.set_size = s.gateways;
+    EngineDriver& d = fleet[std::size_t(i * 7 % s.gateway_count)];
+    RequestArrived r = EngineDriver::request(label("r", i), now);
+    r.gateway_set_size = s.gateway_count;
     auto todo = d.run(now);
     const auto more = d.step(now, {r});
     todo.insert(todo.end(), more.begin(), more.end());
     for (std::size_t k = 0; k < todo.size(); ++k) {
-      if (const auto* call = std::get_if<AddToCounter>(&todo[k])) {
+      if (const auto* call = std::get_if<IncrementCounter>(&todo[k])) {
         const auto then = d.step(now, {totals.answer(*call)});
         todo.insert(todo.end(), then.begin(), then.end());
       } else if (const auto* a = std::get_if<SendAttempt>(&todo[k])) {
@@ -374,8 +374,9 @@
 }
 
 TEST(QuotaSlices, GatewaysAgreeOnTheNames) {
-  Driver one(counted_settings(), Driver::up({"a"}), 1), two(counted_settings(), Driver::up({"a"}), 2);
-  auto a = all<AddToCounter>(one.arrive(kS, "r")), b = all<AddToCounter>(two.arrive(1050 * kMs, "r"));
+  EngineDriver one(counted_settings(), EngineDriver::up({"a"}), 1),
+      two(counted_settings(), EngineDriver::up({"a"}), 2);
+  auto a = all<IncrementCounter>(one.arrive(kS, "r")), b = all<IncrementCounter>(two.arrive(1050 * kMs, "r"));
   ASSERT_EQ(a.size(), 1u);
   ASSERT_EQ(b.size(), 1u);
   EXPECT_EQ(a[0].name, b[0].name);
@@ -387,11 +388,11 @@
   double share = 0;
   std::size_t calls = 0;
 };
-Played play(double others, int gateways = 2, CountOutcome fail = CountOutcome::kOk, int from = 0,
+Played play(double others, int gateways = 2, CounterOutcome fail = CounterOutcome::kOk, int from = 0,
             bool forget = false, double own = 12) {
   Settings s = counted_settings();
-  s.gateways = gateways;
-  Driver d(s);
+  s.gateway_count = gateways;
+  EngineDriver d(s);
   Totals totals;
   Rest rest(totals, s, others);
   std::size_t calls = 0;
@@ -400,16 +401,16 @@
   for (int i = 0; i < steps; ++i) {
     const Micros now = 1000 * kS + Micros(double(i) / own * double(kS));
     rest.run(now);
-    RequestArrived r = Driver::request(label("p", i), now);
-    r.set_size = gateways;
+    RequestArrived r = EngineDriver::request(label("p", i), now);
+    r.gateway_set_size = gateways;
     auto out = d.step(now, {r});
     auto late = d.run(now + 1);
     out.insert(out.end(), late.begin(), late.end());
     for (std::size_t k = 0; k < out.size(); ++k) {
-      if (const auto* call = std::get_if<AddToCounter>(&out[k])) {
+      if (const auto* call = std::get_if<IncrementCounter>(&out[k])) {
         ++calls;
-        const bool failing = now >= (1000 + from) * kS && fail != CountOutcome::kOk;
-        CounterAnswered a;
+        const bool failing = now >= (1000 + from) * kS && fail != CounterOutcome::kOk;
+        CounterReply a;
         a.name = call->name;
         a.outcome = fail;
         if (!failing) a = totals.answer(*call);
@@ -434,15 +435,15 @@
 
 TEST(QuotaSlices, ASliceOfAHundredthPassesItsPartAndNotNothing) {
   // One request in five seconds, of a customer that asks four times its quota through a hundred gateways.
-  EXPECT_NEAR(play(40, 100, CountOutcome::kOk, 0, false, 5).share, 10.0 / 45, 0.08);
-  EXPECT_GT(play(2, 100, CountOutcome::kOk, 0, false, 2).share, 0.95);  // and all of it while there is room
+  EXPECT_NEAR(play(40, 100, CounterOutcome::kOk, 0, false, 5).share, 10.0 / 45, 0.08);
+  EXPECT_GT(play(2, 100, CounterOutcome::kOk, 0, false, 2).share, 0.95);  // and all of it while there is room
 }
 
 // Of forty requests, five a second, each at a gateway that has not met the customer, how many are let in?
 // Before, the customer asked `before` a second elsewhere for four seconds, and nothing for `pause`.
 int let_in_after(double before, Micros pause) {
   Settings s = counted_settings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   int sent = 0;
   for (int round = 0; round < 4; ++round) {  // at several ages of the name on the counter
     Totals totals;
@@ -451,10 +452,10 @@
     for (const Micros end = now + 4 * kS; now < end; now += 50 * kMs) rest.run(now);
     now += pause;
     for (int g = 0; g < 10; ++g, now += 200 * kMs) {
-      Driver d(s, Driver::up({"a"}), std::uint64_t(g + 1));
-      RequestArrived r = Driver::request("first", now);
-      r.set_size = s.gateways;
-      for (const AddToCounter& call : all<AddToCounter>(d.step(now, {r})))
+      EngineDriver d(s, EngineDriver::up({"a"}), std::uint64_t(g + 1));
+      RequestArrived r = EngineDriver::request("first", now);
+      r.gateway_set_size = s.gateway_count;
+      for (const IncrementCounter& call : all<IncrementCounter>(d.step(now, {r})))
         sent += int(all<SendAttempt>(d.step(now, {totals.answer(call)})).size());
     }
   }
@@ -469,40 +470,40 @@
 TEST(QuotaSlices, ASliceSmallerThanARequestIsLetInByLot) {
   // Four requests a second, of a customer that asks twice its quota through forty gateways. A store of a
   // fortieth never holds one.
-  const double share = play(16, 40, CountOutcome::kOk, 0, false, 4).share;
+  const double share = play(16, 40, CounterOutcome::kOk, 0, false, 4).share;
   EXPECT_GT(share, 0.2);
   EXPECT_LT(share, 0.8);
 }
 
 TEST(QuotaSlices, ASilentOrRefusingCounterLeavesTheLastTotals) {
-  for (CountOutcome o : {CountOutcome::kUnknown, CountOutcome::kNotAdded})
+  for (CounterOutcome o : {CounterOutcome::kUnknown, CounterOutcome::kNotAdded})
     EXPECT_NEAR(play(36, 2, o, 8).share, 10.0 / 48, 0.08);
 }
 
 TEST(QuotaSlices, WithNoTotalEverAnEvenPart) {
-  EXPECT_NEAR(play(36, 2, CountOutcome::kNotAdded).share, 5.0 / 12, 0.1);
-  EXPECT_LT(play(36, 100, CountOutcome::kNotAdded).share, 0.05);
+  EXPECT_NEAR(play(36, 2, CounterOutcome::kNotAdded).share, 5.0 / 12, 0.1);
+  EXPECT_LT(play(36, 100, CounterOutcome::kNotAdded).share, 0.05);
 }
 
 TEST(QuotaSlices, ACounterThatForgotIsNotBelieved) {
   // A total of less than was added here proves loss; believed, it would give everything to us.
-  EXPECT_NEAR(play(36, 2, CountOutcome::kOk, 0, true).share, 10.0 / 48, 0.08);
+  EXPECT_NEAR(play(36, 2, CounterOutcome::kOk, 0, true).share, 10.0 / 48, 0.08);
 }
 
 TEST(QuotaSlices, ACustomerInsideItsQuotaIsLetInAfterTheWallClockIsStepped) {
   // Amounts on a counter's name grow with the wall clock; stepped back, they would look many times as large.
   for (const Micros step : {-3600 * kS, -5 * kS, 5 * kS, 3600 * kS}) {
     Settings s = counted_settings();
-    Driver d(s);
+    EngineDriver d(s);
     Totals totals;
     int asked = 0, let_in = 0;
     for (Micros now = kS; now < 40 * kS; now += 250 * kMs) {
       std::vector<Action> out = d.run(now);
-      if (now == 10 * kS) d.step(now, {WallClockMoved{step}});
+      if (now == 10 * kS) d.step(now, {WallClockStepped{step}});
       const auto arrived = d.arrive(now, label("r", now), 2);
       out.insert(out.end(), arrived.begin(), arrived.end());
       for (std::size_t i = 0; i < out.size(); ++i) {
-        const auto* const call = std::get_if<AddToCounter>(&out[i]);
+        const auto* const call = std::get_if<IncrementCounter>(&out[i]);
         if (!call) continue;
         const auto next = d.step(now, {totals.answer(*call)});
         out.insert(out.end(), next.begin(), next.end());
@@ -518,18 +519,18 @@
 }
 
 TEST(QuotaSlices, ACounterThatServesNobodyIsAskedLess) {
-  EXPECT_LT(play(36, 2, CountOutcome::kUnknown).calls, play(36).calls * 2);
+  EXPECT_LT(play(36, 2, CounterOutcome::kUnknown).calls, play(36).calls * 2);
   Settings s = counted_settings();
-  Driver d(s);
+  EngineDriver d(s);
   std::size_t early = 0, late = 0;
   for (int i = 0; i < 4000; ++i) {
-    RequestArrived r = Driver::request(label("x", i), i * 5 * kMs);
+    RequestArrived r = EngineDriver::request(label("x", i), i * 5 * kMs);
     r.customer = label("c", i);
-    for (const AddToCounter& c : all<AddToCounter>(d.step(i * 5 * kMs, {r}))) {
+    for (const IncrementCounter& c : all<IncrementCounter>(d.step(i * 5 * kMs, {r}))) {
       ++(i < 2000 ? early : late);
-      CounterAnswered a;
+      CounterReply a;
       a.name = c.name;
-      a.outcome = CountOutcome::kUnknown;
+      a.outcome = CounterOutcome::kUnknown;
       d.step(i * 5 * kMs, {a});
     }
   }
@@ -544,29 +545,29 @@
   const Settings s = counted_settings();
   constexpr int kGateways = 100, kAsks = 16, kSeconds = 20;
   constexpr Micros kService = kS / 800, kStep = 5 * kMs;
-  std::vector<Driver> fleet;
-  for (int g = 0; g < kGateways; ++g) fleet.emplace_back(s, Driver::up({"a", "b", "c"}), g + 1);
-  std::multimap<Micros, std::pair<int, CounterAnswered>> answers;
+  std::vector<EngineDriver> fleet;
+  for (int g = 0; g < kGateways; ++g) fleet.emplace_back(s, EngineDriver::up({"a", "b", "c"}), g + 1);
+  std::multimap<Micros, std::pair<int, CounterReply>> answers;
   Micros free_at = 0;
   std::size_t calls = 0, answered = 0, late = 0;
   const auto settle = [&](Micros now, int g, const std::vector<Action>& todo) {
     for (const SendAttempt& a : all<SendAttempt>(todo)) fleet[std::size_t(g)].end(now, a, Outcome::kOk);
-    for (const AddToCounter& call : all<AddToCounter>(todo)) {
-      CounterAnswered a;
+    for (const IncrementCounter& call : all<IncrementCounter>(todo)) {
+      CounterReply a;
       a.name = call.name;
       a.total = call.amount;
-      a.outcome = CountOutcome::kNotAdded;
+      a.outcome = CounterOutcome::kNotAdded;
       a.duration = 2 * kMs;
       if (free_at - now < 3 * s.counter_timeout) {
         free_at = std::max(free_at, now) + kService;
-        a.outcome = free_at - now < s.counter_timeout ? CountOutcome::kOk : CountOutcome::kUnknown;
+        a.outcome = free_at - now < s.counter_timeout ? CounterOutcome::kOk : CounterOutcome::kUnknown;
         a.duration = std::min(free_at - now, s.counter_timeout);
       }
       answers.emplace(now + a.duration, std::pair(g, a));
       if (now < kSeconds / 2 * kS) continue;
       ++calls;
-      answered += a.outcome == CountOutcome::kOk;
-      late += a.outcome == CountOutcome::kUnknown;
+      answered += a.outcome == CounterOutcome::kOk;
+      late += a.outcome == CounterOutcome::kUnknown;
     }
   };
   int asked = 0;
@@ -578,7 +579,7 @@
     }
     for (int g = 0; g < kGateways; ++g) settle(now, g, fleet[std::size_t(g)].run(now));
     for (; asked < now * kGateways * kAsks / kS; ++asked) {
-      RequestArrived r = Driver::request(label("r", asked), now);
+      RequestArrived r = EngineDriver::request(label("r", asked), now);
       r.customer = label("c", asked);
       settle(now, asked % kGateways, fleet[std::size_t(asked % kGateways)].step(now, {r}));
     }
@@ -590,10 +591,10 @@
 TEST(QuotaSlices, ARequestLargerThanTheLocalStoreIsNotShutOutForEver) {
   Settings s = basic_settings();
   s.plans[0].burst = 10;
-  s.gateways = 10;
-  Driver d2(s);
-  RequestArrived r = Driver::request("r", kMs, 9);
-  r.set_size = 10;
+  s.gateway_count = 10;
+  EngineDriver d2(s);
+  RequestArrived r = EngineDriver::request("r", kMs, 9);
+  r.gateway_set_size = 10;
   EXPECT_EQ(all<SendAttempt>(d2.step(kMs, {r})).size(), 1u);  // an even part holds one
   r.id = "s";
   r.units = 1;
@@ -602,33 +603,33 @@
 
 TEST(QuotaSlices, UnitsSettledLaterAreTakenFromTheStore) {
   Settings s = basic_settings();
-  s.settles_later = true;
-  Driver d(s);
+  s.settles_units_later = true;
+  EngineDriver d(s);
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
   AttemptEnded e;
   e.id = "r";
-  e.server = sent.at(0).server;
-  e.finished = true;
-  e.billed = 6;  // guessed as one
+  e.endpoint = sent.at(0).endpoint;
+  e.request_finished = true;
+  e.billed_units = 6;  // guessed as one
   d.step(2 * kMs, {e});
   EXPECT_EQ(d.burst(3 * kMs, 12), 4);  // of the even part, ten
 }
 
 TEST(Ceiling, ARestartTakesTheQuotasBurstForSpentAndNoMore) {
   Settings s = basic_settings();
-  s.plans[0].ceiling_rate = 20;
-  s.plans[0].ceiling_burst = 32;  // twelve beyond the quota's burst, six of them our part
-  Driver d(s);
+  s.plans[0].hard_limit_rate = 20;
+  s.plans[0].hard_limit_burst = 32;  // twelve beyond the quota's burst, six of them our part
+  EngineDriver d(s);
   EXPECT_EQ(d.burst(kMs, 8), 6);
   EXPECT_EQ(d.burst(101 * kMs, 3), 1);  // ten units a second is our part
 }
 
 TEST(Ceiling, ACustomerMetLongAfterTheStartHasItsWholePart) {
   Settings s = basic_settings();
-  s.plans[0].ceiling_rate = 20;
-  s.plans[0].ceiling_burst = 24;
-  Driver d(s);
-  RequestArrived first = Driver::request("other", kS);
+  s.plans[0].hard_limit_rate = 20;
+  s.plans[0].hard_limit_burst = 24;
+  EngineDriver d(s);
+  RequestArrived first = EngineDriver::request("other", kS);
   first.customer = "c2";
   d.step(kS, {first});
   EXPECT_EQ(d.burst(10 * kS, 10), 10);  // of twelve: nobody can have spent them since
@@ -638,9 +639,9 @@
   Settings s = basic_settings();
   s.plans[0].rate = 1000;
   s.plans[0].burst = 1000;
-  s.plans[0].ceiling_rate = 20;
-  s.plans[0].ceiling_burst = 40;
-  Driver d(s);
+  s.plans[0].hard_limit_rate = 20;
+  s.plans[0].hard_limit_burst = 40;
+  EngineDriver d(s);
   int sent = 0;
   for (int i = 0; i < 100; ++i) sent += d.burst(i * 50 * kMs, 4);
   EXPECT_LE(sent, 10 * 5 + 20);
@@ -649,16 +650,16 @@
 
 TEST(OpenCap, ElevenGatewaysDoNotEachTakeOnePlace) {
   Settings s = basic_settings();
-  s.gateways = 11;
+  s.gateway_count = 11;
   s.plans[0].rate = s.plans[0].burst = 0;
-  s.plans[0].max_open = 2;
+  s.plans[0].max_concurrent_attempts = 2;
   int out = 0;
   for (int g = 0; g < 11; ++g) {
-    s.position = g;
-    Driver d(s);
+    s.gateway_index = g;
+    EngineDriver d(s);
     for (int i = 0; i < 400; ++i) {  // heavy demand everywhere
-      RequestArrived r = Driver::request(label("x", i), i * kMs);
-      r.set_size = 11;
+      RequestArrived r = EngineDriver::request(label("x", i), i * kMs);
+      r.gateway_set_size = 11;
       out += int(all<SendAttempt>(d.step(i * kMs, {r})).size());
     }
   }
@@ -668,15 +669,15 @@
 TEST(OpenCap, GatewaysTogetherStayUnderIt) {
   for (const auto& [cap, gateways] : {std::pair{2, 2}, {5, 2}, {7, 3}, {3, 4}}) {
     Settings s = basic_settings();
-    s.gateways = gateways;
+    s.gateway_count = gateways;
     s.plans[0].rate = s.plans[0].burst = 1000;
-    s.plans[0].max_open = cap;
+    s.plans[0].max_concurrent_attempts = cap;
     int out = 0;
-    for (s.position = 0; s.position < gateways; ++s.position) {
-      Driver d(s);
+    for (s.gateway_index = 0; s.gateway_index < gateways; ++s.gateway_index) {
+      EngineDriver d(s);
       for (int i = 0; i < 20; ++i) {
-        RequestArrived r = Driver::request(label("x", i), kMs);
-        r.set_size = gateways;
+        RequestArrived r = EngineDriver::request(label("x", i), kMs);
+        r.gateway_set_size = gateways;
         out += int(all<SendAttempt>(d.step(kMs, {r})).size());
       }
     }
@@ -688,10 +689,10 @@
 TEST(OpenCap, ARefusalTellsWhenAnAttemptMayHaveEndedAndNotToComeBackAtOnce) {
   Settings s = basic_settings();
   s.plans[0].rate = s.plans[0].burst = 1000;
-  s.plans[0].max_open = 2;  // one at each of two gateways
-  Driver d(s);
+  s.plans[0].max_concurrent_attempts = 2;  // one at each of two gateways
+  EngineDriver d(s);
   ASSERT_EQ(all<SendAttempt>(d.arrive(kMs, "one")).size(), 1u);
-  const auto refused = all<Refuse>(d.arrive(2 * kMs, "two"));
+  const auto refused = all<RejectRequest>(d.arrive(2 * kMs, "two"));
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_GE(refused[0].retry_after, 80 * kMs);  // a sixth of the aim, before there are answers
   EXPECT_LE(refused[0].retry_after, 165 * kMs);
@@ -700,31 +701,32 @@
 TEST(Ceiling, ARefusalTellsWhenItsPartWillCoverTheRequest) {
   Settings s = basic_settings();
   s.plans[0].rate = s.plans[0].burst = 1000;
-  s.plans[0].ceiling_rate = 20;  // ten a second at each of two gateways
-  s.plans[0].ceiling_burst = 4;
+  s.plans[0].hard_limit_rate = 20;  // ten a second at each of two gateways
+  s.plans[0].hard_limit_burst = 4;
   s.has_counter = false;
-  Driver d(s);
+  EngineDriver d(s);
   Micros now = 10 * kS;
-  std::vector<Refuse> refused;
-  for (int i = 0; i < 40 && refused.empty(); ++i) refused = all<Refuse>(d.arrive(++now, label("r", i)));
+  std::vector<RejectRequest> refused;
+  for (int i = 0; i < 40 && refused.empty(); ++i)
+    refused = all<RejectRequest>(d.arrive(++now, label("r", i)));
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_GE(refused[0].retry_after, 80 * kMs);
   EXPECT_LE(refused[0].retry_after, 100 * kMs);
 }
 
 // What one gateway lets in, and the one that takes its place at the same instant.
-class HandoverTest : public ::testing::Test {
+class HotRestartTest : public ::testing::Test {
  protected:
   Settings settings = basic_settings();
-  std::optional<Driver> before, after;
+  std::optional<EngineDriver> before, after;
   void start() {
     before.emplace(settings);
-    after.emplace(settings, Driver::up({"a", "b", "c"}), 8);
+    after.emplace(settings, EngineDriver::up({"a", "b", "c"}), 8);
   }
-  void hand_over(Micros now) { after->step(now, {TookOver{before->gateway().hand_over(now)}}); }
+  void hand_over(Micros now) { after->step(now, {StateRestored{before->gateway().begin_hot_restart(now)}}); }
 };
 
-TEST_F(HandoverTest, WhatIsSpentOfASliceStaysSpentAndTheOldProcessAdmitsNothingMore) {
+TEST_F(HotRestartTest, WhatIsSpentOfASliceStaysSpentAndTheOldProcessAdmitsNothingMore) {
   start();
   EXPECT_EQ(before->burst(kMs, 6), 6);  // of the even part, ten
   hand_over(2 * kMs);
@@ -732,34 +734,34 @@
   EXPECT_EQ(after->burst(3 * kMs, 10), 4);
 }
 
-TEST_F(HandoverTest, ACeilingHoldsOverBothWithWhatStillWaits) {
+TEST_F(HotRestartTest, ACeilingHoldsOverBothWithWhatStillWaits) {
   settings.plans[0].rate = settings.plans[0].burst = 1000;
-  settings.plans[0].ceiling_rate = 0.001;
-  settings.plans[0].ceiling_burst = 1012;  // six of what lies beyond the burst are our part
+  settings.plans[0].hard_limit_rate = 0.001;
+  settings.plans[0].hard_limit_burst = 1012;  // six of what lies beyond the burst are our part
   start();
   EXPECT_EQ(before->burst(kMs, 4), 4);
   hand_over(2 * kMs);
   EXPECT_EQ(after->burst(3 * kMs, 5), 2);
 }
 
-TEST_F(HandoverTest, AttemptsOutCountForTheOpenCapUntilThePredecessorTellsOfNone) {
+TEST_F(HotRestartTest, AttemptsOutCountForTheOpenCapUntilThePredecessorTellsOfNone) {
   settings.plans[0].rate = settings.plans[0].burst = 1000;
-  settings.plans[0].max_open = 4;  // two of them our part
+  settings.plans[0].max_concurrent_attempts = 4;  // two of them our part
   start();
   EXPECT_EQ(all<SendAttempt>(before->arrive(kMs, "x")).size(), 1u);
   hand_over(2 * kMs);
   EXPECT_EQ(all<SendAttempt>(after->arrive(3 * kMs, "y")).size(), 1u);
   EXPECT_EQ(all<SendAttempt>(after->arrive(3 * kMs, "z")).size(), 0u);
-  after->step(4 * kMs, {PredecessorOpen{{}}});
+  after->step(4 * kMs, {PredecessorAttempts{{}}});
   EXPECT_EQ(all<SendAttempt>(after->arrive(5 * kMs, "w")).size(), 1u);
 }
 
-TEST_F(HandoverTest, AColdServersBudgetIsNotSpentTwice) {
-  settings.cold_share = 0.2;
-  settings.cold_time = 20 * kS;
-  settings.cold_multiple = 3;
-  settings.cold_window = 2 * kS;
-  auto cold = Driver::up({"a"});
+TEST_F(HotRestartTest, AColdServersBudgetIsNotSpentTwice) {
+  settings.slow_start_min_capacity = 0.2;
+  settings.slow_start_duration = 20 * kS;
+  settings.slow_start_overload_factor = 3;
+  settings.slow_start_window = 2 * kS;
+  auto cold = EngineDriver::up({"a"});
   cold[0].started_at = kMs;
   before.emplace(settings, cold);
   after.emplace(settings, cold, 8);
@@ -768,149 +770,151 @@
   EXPECT_EQ(after->burst(4 * kMs, 3), 0);
 }
 
-TEST_F(HandoverTest, FiguresOfAnotherBuildAreLeftAndAGatewayTakesItsPlaceBack) {
+TEST_F(HotRestartTest, FiguresOfAnotherBuildAreLeftAndAGatewayTakesItsPlaceBack) {
   start();
   before->burst(kMs, 6);
-  Handover state = before->gateway().hand_over(2 * kMs);
+  HotRestartState state = before->gateway().begin_hot_restart(2 * kMs);
   state.customers["c1"].second.pop_back();
-  state.servers["a"].pop_back();
+  state.endpoints["a"].pop_back();
   state.fleet.clear();
-  after->step(2 * kMs, {TookOver{state}});
+  after->step(2 * kMs, {StateRestored{state}});
   EXPECT_EQ(after->burst(3 * kMs, 12), 10);
-  before->step(4 * kMs, {TookBack{}});
+  before->step(4 * kMs, {HotRestartAborted{}});
   EXPECT_EQ(before->burst(5 * kMs, 10), 4);
 }
 
 TEST(Rules, NothingGoesToADrainingOrRemovedServer) {
-  Driver d;
-  ServerListUpdate u;
-  u.kind = ServerListUpdate::Kind::kPartial;
-  u.entries = Driver::up({"a", "b"});
-  u.entries[0].state = ServerState::kDraining;
-  u.entries[1].state = ServerState::kRemoved;
+  EngineDriver d;
+  EndpointListUpdate u;
+  u.kind = EndpointListUpdate::Kind::kPartial;
+  u.entries = EngineDriver::up({"a", "b"});
+  u.entries[0].state = EndpointState::kDraining;
+  u.entries[1].state = EndpointState::kRemoved;
   d.step(kMs, {u});
   for (int i = 0; i < 5; ++i)
-    for (const SendAttempt& a : all<SendAttempt>(d.arrive(2 * kMs, label("r", i)))) EXPECT_EQ(a.server, "c");
+    for (const SendAttempt& a : all<SendAttempt>(d.arrive(2 * kMs, label("r", i))))
+      EXPECT_EQ(a.endpoint, "c");
 }
 
 TEST(Rules, NothingGoesToAServerDisabledByHandAndItComesBackCold) {
   Settings s = basic_settings();
-  s.cold_share = 0.2;
-  s.cold_time = 20 * kS;
-  s.cold_multiple = 3;
-  s.cold_window = 2 * kS;
-  Driver d(s, Driver::up({"a"}));
-  d.step(kMs, {ServerSwitched{"a", true}});
-  ServerListUpdate again;
-  again.entries = Driver::up({"a"});
-  d.step(2 * kMs, {again, ServerSwitched{"a", true}});
+  s.slow_start_min_capacity = 0.2;
+  s.slow_start_duration = 20 * kS;
+  s.slow_start_overload_factor = 3;
+  s.slow_start_window = 2 * kS;
+  EngineDriver d(s, EngineDriver::up({"a"}));
+  d.step(kMs, {AdminStateChanged{"a", true}});
+  EndpointListUpdate again;
+  again.entries = EngineDriver::up({"a"});
+  d.step(2 * kMs, {again, AdminStateChanged{"a", true}});
   EXPECT_EQ(d.burst(3 * kMs, 5), 0);
-  d.step(10 * kS, {ServerSwitched{"a", false}});
-  EXPECT_EQ(d.burst(10 * kS + kMs, 5), 1);        // a cold one, not yet told of as restarted
-  d.step(40 * kS, {ServerSwitched{"a", false}});  // a second call back changes nothing
+  d.step(10 * kS, {AdminStateChanged{"a", false}});
+  EXPECT_EQ(d.burst(10 * kS + kMs, 5), 1);           // a cold one, not yet told of as restarted
+  d.step(40 * kS, {AdminStateChanged{"a", false}});  // a second call back changes nothing
   EXPECT_EQ(d.burst(40 * kS + kMs, 5), 5);
 }
 
 TEST(Rules, AnEmptyServerListStillAnswersEveryRequestInTime) {
-  Driver d(basic_settings(), {});
+  EngineDriver d(basic_settings(), {});
   auto out = d.arrive(kMs, "r");
   auto more = d.run(2 * kS);
   out.insert(out.end(), more.begin(), more.end());
-  EXPECT_EQ(all<Refuse>(out).size(), 1u);
-  EXPECT_TRUE(all<Fail>(out).empty());
+  EXPECT_EQ(all<RejectRequest>(out).size(), 1u);
+  EXPECT_TRUE(all<FailRequest>(out).empty());
 }
 
-Settings keyed_settings(Repeat repeat) {
+Settings keyed_settings(Idempotency repeat) {
   Settings s = basic_settings();
-  s.classes[0].repeat = repeat;
+  s.classes[0].idempotency = repeat;
   s.classes[0].dedup_scope = DedupScope::kCell;
   s.classes[0].dedup_window = 8 * kS;
-  s.classes[0].late_worth = 0.2;
+  s.classes[0].late_weight = 0.2;
   return s;
 }
 
 TEST(Rules, AKeyedRequestThatMayHaveRunIsResentOnlyInItsCell) {
-  auto servers = Driver::up({"a", "b", "c", "d"});
+  auto servers = EngineDriver::up({"a", "b", "c", "d"});
   for (int i = 0; i < 4; ++i) servers[std::size_t(i)].cell = i / 2;
-  Driver d(keyed_settings(Repeat::kKeyed), servers);
+  EngineDriver d(keyed_settings(Idempotency::kByKey), servers);
   auto first = all<SendAttempt>(d.arrive(kMs, "r"));
   ASSERT_EQ(first.size(), 1u);
   auto out = d.end(50 * kMs, first[0], Outcome::kReset);
   auto second = all<SendAttempt>(out);
   ASSERT_EQ(second.size(), 1u);
   auto cell = [](const std::string& n) { return n == "a" || n == "b"; };
-  EXPECT_EQ(cell(first[0].server), cell(second[0].server));
+  EXPECT_EQ(cell(first[0].endpoint), cell(second[0].endpoint));
 }
 
 TEST(Rules, AKeyedRequestThatMayHaveRunIsFailedNotRefused) {
-  Settings s = keyed_settings(Repeat::kKeyed);
+  Settings s = keyed_settings(Idempotency::kByKey);
   s.max_attempts = 1;
-  Driver d(s);
+  EngineDriver d(s);
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
   auto out = d.end(50 * kMs, sent.at(0), Outcome::kReset);
-  EXPECT_EQ(all<Fail>(out).size(), 1u);
-  EXPECT_TRUE(all<Refuse>(out).empty());
+  EXPECT_EQ(all<FailRequest>(out).size(), 1u);
+  EXPECT_TRUE(all<RejectRequest>(out).empty());
 }
 
 TEST(Rules, AKeyedRetryWhoseSenderIsHeldUpStillArrivesWithinItsWindow) {
   // A gateway may be held up for 150 ms between reading its clock and writing, after a connection that came
   // up as late as allowed.
   Settings s = basic_settings();
-  s.classes[0].repeat = Repeat::kKeyed;
+  s.classes[0].idempotency = Idempotency::kByKey;
   s.classes[0].dedup_scope = DedupScope::kAll;
   s.classes[0].dedup_window = kS;
-  s.classes[0].aim = s.classes[0].deadline = 2 * kS;
-  s.dial_timeout = 250 * kMs;
+  s.classes[0].latency_objective = s.classes[0].client_timeout = 2 * kS;
+  s.connect_timeout = 250 * kMs;
   for (const Micros at : {550 * kMs, 650 * kMs}) {
-    Driver d(s);
+    EngineDriver d(s);
     const auto first = all<SendAttempt>(d.arrive(kMs, "r"));
     const auto again = all<SendAttempt>(d.end(kMs + at, first.at(0), Outcome::kReset));
-    EXPECT_EQ(again.size(), at + s.dial_timeout + 150 * kMs < s.classes[0].dedup_window ? 1u : 0u) << at;
+    EXPECT_EQ(again.size(), at + s.connect_timeout + 150 * kMs < s.classes[0].dedup_window ? 1u : 0u) << at;
   }
 }
 
 TEST(Rules, AnUnsafeRequestIsRetriedOnlyWhenItNeverRan) {
   for (Outcome o : {Outcome::kTimeout, Outcome::kReset, Outcome::kError, Outcome::kCancelled}) {
-    Driver d(keyed_settings(Repeat::kUnsafe));
+    EngineDriver d(keyed_settings(Idempotency::kNonIdempotent));
     auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
     auto out = d.end(50 * kMs, sent.at(0), o);
     EXPECT_TRUE(all<SendAttempt>(out).empty());
-    EXPECT_EQ(all<Fail>(out).size(), 1u);
+    EXPECT_EQ(all<FailRequest>(out).size(), 1u);
   }
-  Driver d(keyed_settings(Repeat::kUnsafe));
+  EngineDriver d(keyed_settings(Idempotency::kNonIdempotent));
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
   EXPECT_EQ(all<SendAttempt>(d.end(50 * kMs, sent.at(0), Outcome::kConnectFailed)).size(), 1u);
 }
 
 TEST(Rules, AColdServerGetsNoMoreThanOneRequestAWindowBeforePeersAreObserved) {
   Settings s = basic_settings();
-  s.cold_share = 0.2;
-  s.cold_time = 15 * kS;
-  s.cold_multiple = 2;
-  s.cold_window = kS;
-  auto servers = Driver::up({"a"});
+  s.slow_start_min_capacity = 0.2;
+  s.slow_start_duration = 15 * kS;
+  s.slow_start_overload_factor = 2;
+  s.slow_start_window = kS;
+  auto servers = EngineDriver::up({"a"});
   servers[0].started_at = 1;
-  Driver d(s, servers);
+  EngineDriver d(s, servers);
   d.burst(kMs, 5);
   EXPECT_EQ(all<SendAttempt>(d.log()).size(), 1u);
 }
 
 TEST(Rules, OutcomesTimersAndDeparturesOfEndedRequestsAreIgnored) {
-  Driver d;
+  EngineDriver d;
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
   d.end(2 * kMs, sent.at(0), Outcome::kOk);
   auto out = d.end(3 * kMs, sent[0], Outcome::kTimeout);
   EXPECT_TRUE(all<SendAttempt>(out).empty());
-  EXPECT_TRUE(d.step(4 * kMs, {ClientGone{"r"}, ClientGone{"never seen"}, TimerFired{987654}}).empty());
+  EXPECT_TRUE(
+      d.step(4 * kMs, {RequestCancelled{"r"}, RequestCancelled{"never seen"}, TimerFired{987654}}).empty());
   auto late = d.run(2 * kS);
   EXPECT_TRUE(all<SendAttempt>(late).empty());
-  EXPECT_TRUE(all<Refuse>(late).empty());
+  EXPECT_TRUE(all<RejectRequest>(late).empty());
 }
 
 TEST(Attempts, AStalledServerIsLeftForAnotherBeforeTheAim) {
   Settings s = basic_settings();
   s.plans[0].rate = s.plans[0].burst = 1000;
-  Driver d(s);
+  EngineDriver d(s);
   for (int i = 0; i < 30; ++i)
     d.end(0, all<SendAttempt>(d.arrive(0, label("usual", i))).at(0), Outcome::kOk, 0, 20 * kMs);
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
@@ -918,11 +922,11 @@
   ASSERT_EQ(all<CancelAttempt>(out).size(), 1u);
   auto again = all<SendAttempt>(d.end(451 * kMs, sent.at(0), Outcome::kCancelled));
   ASSERT_EQ(again.size(), 1u);
-  EXPECT_NE(again[0].server, sent[0].server);
+  EXPECT_NE(again[0].endpoint, sent[0].endpoint);
 }
 
 TEST(Attempts, OneQuickAnswerDoesNotMakeTheNextAttemptsLookStalled) {
-  Driver d;
+  EngineDriver d;
   auto quick = all<SendAttempt>(d.arrive(0, "quick"));
   d.end(0, quick.at(0), Outcome::kOk, 0, 5 * kMs);
   ASSERT_EQ(all<SendAttempt>(d.arrive(kMs, "r")).size(), 1u);
@@ -931,16 +935,16 @@
 }
 
 TEST(Servers, FailuresInARowEject) {
-  Driver d;
+  EngineDriver d;
   std::set<std::string> seen;
   for (int i = 0; i < 30; ++i) {
     auto out = d.arrive(i * 20 * kMs, label("r", i));
     for (int n = 0; n < 3; ++n) {
       auto sent = all<SendAttempt>(out);
       if (sent.empty()) break;
-      if (i >= 20) seen.insert(sent[0].server);
-      out =
-          d.end(i * 20 * kMs + 1, sent[0], sent[0].server == "a" ? Outcome::kConnectFailed : Outcome::kOk, n);
+      if (i >= 20) seen.insert(sent[0].endpoint);
+      out = d.end(i * 20 * kMs + 1, sent[0], sent[0].endpoint == "a" ? Outcome::kConnectFailed : Outcome::kOk,
+                  n);
     }
   }
   EXPECT_FALSE(seen.count("a"));
@@ -949,7 +953,7 @@
 TEST(Servers, OneThatFailsWhatItGetsAtOnceIsNotTakenForQuick) {
   Settings s = basic_settings();
   s.plans[0].rate = s.plans[0].burst = 1000;
-  Driver d(s);
+  EngineDriver d(s);
   int failed = 0;
   for (int i = 0; i < 100; ++i) {
     const Micros now = i * 20 * kMs;
@@ -957,7 +961,7 @@
     for (int n = 0; n < 3; ++n) {
       const auto sent = all<SendAttempt>(out);
       if (sent.empty()) break;
-      const bool fails = sent[0].server == "a";
+      const bool fails = sent[0].endpoint == "a";
       failed += fails;
       out = d.end(now + (fails ? kMs : 15 * kMs), sent[0], fails ? Outcome::kError : Outcome::kOk, n,
                   fails ? kMs : 15 * kMs);
@@ -969,19 +973,19 @@
 TEST(Overload, ServersAreNotHandedMoreThanTheyCanHold) {
   Settings s = basic_settings();
   s.plans[0].rate = s.plans[0].burst = 1000;
-  Driver d(s);
+  EngineDriver d(s);
   std::size_t sent = 0;
   for (int i = 0; i < 200; ++i) sent += all<SendAttempt>(d.arrive(kMs, label("r", i))).size();
   EXPECT_LE(sent, 8u);  // five a server over two gateways
   auto out = d.run(2 * kS);
-  EXPECT_EQ(all<Refuse>(out).size() + sent + all<CancelAttempt>(out).size(),
+  EXPECT_EQ(all<RejectRequest>(out).size() + sent + all<CancelAttempt>(out).size(),
             200u + all<CancelAttempt>(out).size());
 }
 
 // Far more demand than one gateway's servers take, for `steps` of 10 ms. Each attempt is answered after the
 // time that `answer` gives for its number. The most attempts that were out at once in the last tenth.
 template <typename Answer>
-int most_out(Driver& d, int steps, Answer answer) {
+int most_out(EngineDriver& d, int steps, Answer answer) {
   struct Out {
     SendAttempt attempt;
     Micros sent, until;
@@ -1007,9 +1011,9 @@
 
 TEST(Overload, LateAnswersCutTheLimitBeforeTheIdleTimeIsLearnt) {
   Settings s = basic_settings();
-  s.gateways = 1;
+  s.gateway_count = 1;
   s.plans[0].rate = s.plans[0].burst = 1e6;
-  Driver late(s), idle(s);
+  EngineDriver late(s), idle(s);
   // At most 120 answers in six seconds, after 0.8 of the aim, and after a tenth of it.
   const int most = most_out(late, 600, [](int) { return 400 * kMs; });
   EXPECT_LE(most, 12);
@@ -1018,18 +1022,18 @@
 
 TEST(Overload, TheFirstAndFastestAnswersAreNotTakenForTheIdleTime) {
   Settings s = basic_settings();
-  s.gateways = 1;
+  s.gateway_count = 1;
   s.plans[0].rate = s.plans[0].burst = 1e6;
-  Driver d(s);
+  EngineDriver d(s);
   // The quick requests of the first moment are answered first; the usual one takes twice as long.
   EXPECT_GT(most_out(d, 600, [](int n) { return (n < 40 ? 20 : 40) * kMs; }), 18);
 }
 
 TEST(Overload, ServersThatAllLookSlowByTheirUnitsStillHaveTheirPartsOfTheLimit) {
   Settings s = basic_settings();
-  s.gateways = 2;
+  s.gateway_count = 2;
   s.plans[0].rate = s.plans[0].burst = 1e6;
-  Driver d(s, Driver::up({"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}));
+  EngineDriver d(s, EngineDriver::up({"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}));
   // Small requests take as long as large ones: answers over what units let expect come to more than one.
   Micros now = kS;
   for (int i = 0; i < 400; ++i, now += 50 * kMs) {
@@ -1045,16 +1049,16 @@
 TEST(Servers, AFullAnswerForOnePlanIsTriedElsewhereAndCutsNoLimit) {
   Settings s = basic_settings();
   s.plans[0].rate = s.plans[0].burst = 1000;
-  Driver d(s);
+  EngineDriver d(s);
   int served = 0;
   for (int i = 0; i < 100; ++i) {
     auto out = d.arrive(i * 50 * kMs, label("r", i));
     for (int n = 0; n < 3; ++n) {
       auto sent = all<SendAttempt>(out);
       if (sent.empty()) break;
-      const bool full = sent[0].server != "c";  // a and b turn the plan away
+      const bool full = sent[0].endpoint != "c";  // a and b turn the plan away
       served += !full;
-      out = d.end(i * 50 * kMs + 1 + n, sent[0], full ? Outcome::kFull : Outcome::kOk, n);
+      out = d.end(i * 50 * kMs + 1 + n, sent[0], full ? Outcome::kOverloaded : Outcome::kOk, n);
     }
   }
   EXPECT_EQ(served, 100);
@@ -1062,25 +1066,25 @@
 
 TEST(Servers, ManyGatewaysThatSawTheSameReportDoNotAllPickOneServer) {
   Settings s = basic_settings();
-  s.gateways = 300;
+  s.gateway_count = 300;
   s.plans[0].rate = s.plans[0].burst = 1e6;
   std::map<std::string, int> picked;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    Driver d(s, Driver::up({"a", "b", "c", "d"}), seed);
+    EngineDriver d(s, EngineDriver::up({"a", "b", "c", "d"}), seed);
     std::set<std::string> told;
     for (int i = 0; i < 100 && told.size() < 4; ++i) {
       auto sent = all<SendAttempt>(d.arrive(kS + i * kMs, label("r", i)));
       if (sent.empty()) continue;
       AttemptEnded e;
       e.id = sent[0].id;
-      e.server = sent[0].server;
+      e.endpoint = sent[0].endpoint;
       e.duration = kMs;
-      e.finished = true;
-      e.load.in_flight = e.server == "a" ? 1 : 4;  // a looks idle to everybody
-      told.insert(e.server);
+      e.request_finished = true;
+      e.load.in_flight = e.endpoint == "a" ? 1 : 4;  // a looks idle to everybody
+      told.insert(e.endpoint);
       d.step(kS + i * kMs, {e});
     }
-    for (const SendAttempt& a : all<SendAttempt>(d.arrive(1200 * kMs, "last"))) ++picked[a.server];
+    for (const SendAttempt& a : all<SendAttempt>(d.arrive(1200 * kMs, "last"))) ++picked[a.endpoint];
   }
   EXPECT_GT(picked["a"], 15);
   EXPECT_LT(picked["a"], 45);
@@ -1088,15 +1092,15 @@
 
 TEST(Servers, OneOfManyGatewaysStaysWithServersThatItIsConnectedTo) {
   Settings s = basic_settings();
-  s.gateways = 40;
+  s.gateway_count = 40;
   std::vector<std::string> names;
   for (int i = 0; i < 24; ++i) names.push_back(label("s", i));
-  Driver d(s, Driver::up(names));
+  EngineDriver d(s, EngineDriver::up(names));
   std::set<std::string> used;
   for (int i = 0; i < 60; ++i) {
     const Micros now = i * 200 * kMs;
     for (const SendAttempt& a : all<SendAttempt>(d.arrive(now, label("r", i)))) {
-      used.insert(a.server);
+      used.insert(a.endpoint);
       d.end(now + 20 * kMs, a, Outcome::kOk, 0, 20 * kMs);
     }
   }
@@ -1107,19 +1111,19 @@
 // seldom one of those that it was connected to within five seconds.
 TEST(Servers, OneOfManyGatewaysReusesItsConnectionsAlsoWhereServersAreMany) {
   Settings s = basic_settings();
-  s.gateways = 300;
+  s.gateway_count = 300;
   s.plans[0].rate = s.plans[0].burst = 1e6;
   std::vector<std::string> names;
   for (int i = 0; i < 160; ++i) names.push_back(label("s", i));
-  Driver d(s, Driver::up(names));
+  EngineDriver d(s, EngineDriver::up(names));
   std::map<std::string, Micros> used;
   int attempts = 0, connected = 0;
   for (int i = 0; i < 400; ++i) {
     const Micros now = i * 125 * kMs;
     for (const SendAttempt& a : all<SendAttempt>(d.arrive(now, label("r", i)))) {
-      const auto last = used.find(a.server);
+      const auto last = used.find(a.endpoint);
       if (i >= 80) ++attempts, connected += last != used.end() && now - last->second < 5 * kS;
-      used[a.server] = now;
+      used[a.endpoint] = now;
       d.end(now + 100 * kMs, a, Outcome::kOk, 0, 100 * kMs);
     }
   }
@@ -1131,30 +1135,30 @@
 // by the capacity that they have at the least, beside 8 warm ones. Each answer takes 100 ms.
 double cold_part(int gateways, Micros between) {
   Settings s = basic_settings();
-  s.gateways = gateways;
+  s.gateway_count = gateways;
   s.plans[0].rate = s.plans[0].burst = 1e6;
-  s.cold_share = 0.21;
-  s.cold_time = 18 * kS;
-  s.cold_multiple = 3;
-  s.cold_window = 2 * kS;
+  s.slow_start_min_capacity = 0.21;
+  s.slow_start_duration = 18 * kS;
+  s.slow_start_overload_factor = 3;
+  s.slow_start_window = 2 * kS;
   constexpr Micros kJoin = 5 * kS, kEnd = 11 * kS;
-  std::vector<ServerEntry> fresh;
+  std::vector<EndpointEntry> fresh;
   for (int i = 0; i < 12; ++i) {
     fresh.push_back({});
-    fresh.back().server = label("new", i);
+    fresh.back().endpoint = label("new", i);
     fresh.back().started_at = kJoin;
   }
   std::vector<std::string> old;
   for (int i = 0; i < 8; ++i) old.push_back(label("old", i));
   double to_cold = 0, all_sent = 0, fair = 0;
   for (int g = 0; g < gateways; ++g) {
-    s.position = g;
-    Driver d(s, Driver::up(old), std::uint64_t(g + 1));
+    s.gateway_index = g;
+    EngineDriver d(s, EngineDriver::up(old), std::uint64_t(g + 1));
     bool joined = false;
     for (Micros now = kS + g * between / gateways; now < kEnd; now += between) {
       if (now >= kJoin && !std::exchange(joined, true)) {
-        ServerListUpdate list;
-        list.kind = ServerListUpdate::Kind::kPartial;
+        EndpointListUpdate list;
+        list.kind = EndpointListUpdate::Kind::kPartial;
         list.entries = fresh;
         d.step(now, {list});
       }
@@ -1162,10 +1166,10 @@
       auto more = d.arrive(now, label("r", now));
       sent.insert(sent.end(), more.begin(), more.end());
       for (const SendAttempt& a : all<SendAttempt>(sent)) {
-        const double warmth = 0.21 + 0.79 * double(now - kJoin) / double(s.cold_time);
+        const double warmth = 0.21 + 0.79 * double(now - kJoin) / double(s.slow_start_duration);
         if (joined) {
           ++all_sent;
-          to_cold += a.server[0] == 'n';
+          to_cold += a.endpoint[0] == 'n';
           fair += 12 * warmth / (12 * warmth + 8);
         }
         d.end(now + 100 * kMs, a, Outcome::kOk, 0, 100 * kMs);
@@ -1193,31 +1197,32 @@
   constexpr Micros kQuietFrom = 8 * kS;
   const Micros kJoin = kQuietFrom + quiet, kEnd = kJoin + 12 * kS;
   Settings s = basic_settings();
-  s.gateways = gateways;
+  s.gateway_count = gateways;
   s.plans[0].rate = s.plans[0].burst = 1e6;
-  s.cold_share = 0.21;
-  s.cold_time = 18 * kS;
-  s.cold_multiple = 3;
-  s.cold_window = 2 * kS;
-  std::vector<ServerEntry> fresh = Driver::up({"new1", "new2"});
-  for (ServerEntry& e : fresh) e.started_at = kJoin;
-  std::vector<ServerEntry> old = Driver::up({"old1", "old2", "old3", "old4", "old5", "old6"}), all_of = old;
+  s.slow_start_min_capacity = 0.21;
+  s.slow_start_duration = 18 * kS;
+  s.slow_start_overload_factor = 3;
+  s.slow_start_window = 2 * kS;
+  std::vector<EndpointEntry> fresh = EngineDriver::up({"new1", "new2"});
+  for (EndpointEntry& e : fresh) e.started_at = kJoin;
+  std::vector<EndpointEntry> old = EngineDriver::up({"old1", "old2", "old3", "old4", "old5", "old6"}),
+                             all_of = old;
   all_of.insert(all_of.end(), fresh.begin(), fresh.end());
   std::mt19937_64 random(seed);
   std::uniform_real_distribution<double> chance(0, 1);
   std::map<std::string, std::vector<Micros>> to_cold;
   int to_warm = 0;
   for (int g = 0; g < gateways; ++g) {
-    s.position = g;
+    s.gateway_index = g;
     const double rate = std::exp(2.3 * chance(random)) * 30 / gateways;
-    std::optional<Driver> d;
+    std::optional<EngineDriver> d;
     d.emplace(s, old, seed * 1000 + std::uint64_t(g));
     bool joined = false, anew = false;
     for (Micros now = kS; now < kEnd; now += Micros(-std::log(1 - chance(random)) / rate * double(kS))) {
       if (now >= kQuietFrom && now < kJoin) now = kJoin + Micros(chance(random) * double(kS));
       if (now >= kJoin && !std::exchange(joined, true)) {
-        ServerListUpdate list;
-        list.kind = ServerListUpdate::Kind::kPartial;
+        EndpointListUpdate list;
+        list.kind = EndpointListUpdate::Kind::kPartial;
         list.entries = fresh;
         d->run(now - 1);
         d->step(now, {list});
@@ -1232,10 +1237,10 @@
         const auto* const found = std::get_if<SendAttempt>(&out[i]);
         if (!found) continue;
         const SendAttempt a = *found;
-        if (a.server[0] == 'n') to_cold[a.server].push_back(now);
-        to_warm += a.server[0] == 'o' && now < kJoin;
-        const double share = a.server[0] == 'o' && now >= kJoin ? turned_away : 0.25;
-        const Outcome o = chance(random) < share ? Outcome::kFull : Outcome::kOk;
+        if (a.endpoint[0] == 'n') to_cold[a.endpoint].push_back(now);
+        to_warm += a.endpoint[0] == 'o' && now < kJoin;
+        const double share = a.endpoint[0] == 'o' && now >= kJoin ? turned_away : 0.25;
+        const Outcome o = chance(random) < share ? Outcome::kOverloaded : Outcome::kOk;
         auto next = d->end(now + 100 * kMs, a, o, attempts[a.id]++, 100 * kMs);
         out.insert(out.end(), next.begin(), next.end());
       }
@@ -1246,9 +1251,9 @@
   for (auto& [server, sends] : to_cold) {
     std::sort(sends.begin(), sends.end());
     for (std::size_t i = 0, first = 0; i < sends.size(); ++i) {
-      while (sends[i] - sends[first] >= s.cold_window) ++first;
-      const double warmth = 0.21 + 0.79 * double(sends[first] - kJoin) / double(s.cold_time);
-      const double n = s.cold_multiple * warmth * bears * double(s.cold_window) / kS;
+      while (sends[i] - sends[first] >= s.slow_start_window) ++first;
+      const double warmth = 0.21 + 0.79 * double(sends[first] - kJoin) / double(s.slow_start_duration);
+      const double n = s.slow_start_overload_factor * warmth * bears * double(s.slow_start_window) / kS;
       worst = std::max(worst, double(i - first + 1) / (n + 2 * std::sqrt(n) + 2));
     }
   }
@@ -1288,15 +1293,15 @@
 bool is_spared(Micros wall_offset, Micros note, Micros told, Micros at) {
   Settings s = basic_settings();
   s.plans[0].rate = s.plans[0].burst = 1e6;
-  s.cold_share = 0.2;
-  s.cold_time = 15 * kS;
-  s.cold_multiple = 2;
-  s.cold_window = kS;
-  Driver d(s, Driver::up({"old"}));
-  d.step(20 * kS, {ServerListUpdate{ServerListUpdate::Kind::kPartial, {}}});
-  d.step(told - 1, {WallClockMoved{wall_offset}});
-  ServerListUpdate list;
-  list.entries = Driver::up({"new"});
+  s.slow_start_min_capacity = 0.2;
+  s.slow_start_duration = 15 * kS;
+  s.slow_start_overload_factor = 2;
+  s.slow_start_window = kS;
+  EngineDriver d(s, EngineDriver::up({"old"}));
+  d.step(20 * kS, {EndpointListUpdate{EndpointListUpdate::Kind::kPartial, {}}});
+  d.step(told - 1, {WallClockStepped{wall_offset}});
+  EndpointListUpdate list;
+  list.entries = EngineDriver::up({"new"});
   list.entries[0].started_at = note;
   d.step(told, {list});
   std::size_t sent = 0;
@@ -1317,7 +1322,7 @@
 TEST(Servers, OnesOwnPauseIsNotReadAsSlowServers) {
   Settings s = basic_settings();
   s.plans[0].rate = s.plans[0].burst = 1e6;
-  Driver d(s);
+  EngineDriver d(s);
   Micros now = kS;
   std::size_t sent = 0;
   for (int k = 0; k < 200; ++k, now += 20 * kMs) {
@@ -1334,22 +1339,22 @@
 
 TEST(Overload, AGatewayWithMoreGatewaysThanServersMaySendMoreThanOneAtATime) {
   Settings s = basic_settings();
-  s.gateways = 300;
+  s.gateway_count = 300;
   s.plans[0].rate = s.plans[0].burst = 1e6;
-  Driver d(s);
+  EngineDriver d(s);
   EXPECT_EQ(all<SendAttempt>(d.arrive(kS, "one")).size(), 1u);
   EXPECT_EQ(all<SendAttempt>(d.arrive(kS, "two")).size(), 1u);
 }
 
 TEST(Module, BadInputNeitherCrashesNorLosesARequest) {
   Settings s = counted_settings();
-  s.gateways = 0;
-  Driver d(s);
+  s.gateway_count = 0;
+  EngineDriver d(s);
   std::vector<Event> events;
   for (int i = 0; i < 1000; ++i) {
-    RequestArrived r = Driver::request(label("r", i), kS);
-    r.set_size = i % 3 ? 1000 : -5;
-    r.first_gateway = i % 2 ? -7 : 900;
+    RequestArrived r = EngineDriver::request(label("r", i), kS);
+    r.gateway_set_size = i % 3 ? 1000 : -5;
+    r.first_gateway_index = i % 2 ? -7 : 900;
     r.units = i % 5 ? 1 : 0;
     r.customer = label("c", i % 50);
     events.push_back(r);
@@ -1359,18 +1364,18 @@
   ASSERT_FALSE(sent.empty());
   AttemptEnded e;
   e.id = sent[0].id;
-  e.server = sent[0].server;
-  e.finished = true;
+  e.endpoint = sent[0].endpoint;
+  e.request_finished = true;
   e.duration = -5;
   e.load.in_flight = 1e30;
   e.load.queued = -3;
-  auto more = d.step(kS + kMs, {e, CounterAnswered{}, ProbeEnded{}, ServerListUpdate{}});
+  auto more = d.step(kS + kMs, {e, CounterReply{}, ProbeEnded{}, EndpointListUpdate{}});
   out.insert(out.end(), more.begin(), more.end());
   auto rest = d.run(4 * kS);
   out.insert(out.end(), rest.begin(), rest.end());
   std::map<std::string, int> answers;
-  for (const Refuse& r : all<Refuse>(out)) ++answers[r.id];
-  for (const Fail& f : all<Fail>(out)) ++answers[f.id];
+  for (const RejectRequest& r : all<RejectRequest>(out)) ++answers[r.id];
+  for (const FailRequest& f : all<FailRequest>(out)) ++answers[f.id];
   for (const auto& [id, n] : answers) EXPECT_EQ(n, 1) << id;
   std::set<std::string> attempted;
   for (const SendAttempt& a : all<SendAttempt>(out)) attempted.insert(a.id);
@@ -1380,11 +1385,11 @@
 
 TEST(Module, ARequestOfImpossibleUnitsMakesNoOtherLookLikeNoWork) {
   Settings s = basic_settings();
-  s.may_cancel = false;  // so that an attempt that takes long is only looked at
-  s.largest_units = 4;
-  Driver d(s);
+  s.allow_cancel = false;  // so that an attempt that takes long is only looked at
+  s.max_request_units = 4;
+  EngineDriver d(s);
   d.arrive(0, "large", 100);
-  RequestArrived usual = Driver::request("usual", kMs);
+  RequestArrived usual = EngineDriver::request("usual", kMs);
   usual.customer = "c2";
   ASSERT_EQ(all<SendAttempt>(d.step(kMs, {usual})).size(), 1u);
   // Left without an answer, it is looked at a few times until its client gives up, beside the looks each
@@ -1395,46 +1400,46 @@
 TEST(Module, AThousandGatewaysAndServersAreNoneTooMany) {
   constexpr int kThousand = 1024;
   Settings s = counted_settings();
-  s.gateways = kThousand;
-  s.position = kThousand - 1;
+  s.gateway_count = kThousand;
+  s.gateway_index = kThousand - 1;
   std::vector<std::string> names;
   for (int i = 0; i < kThousand; ++i) names.push_back(label("s", i));
-  Driver d(s, Driver::up(names));
+  EngineDriver d(s, EngineDriver::up(names));
   Totals totals;
   std::set<std::string> used;
   std::set<std::int64_t> counted;
   Micros now = kS;
   for (int i = 0; i < 2 * kThousand; ++i, now += kS) {
-    RequestArrived r = Driver::request(label("r", i), now);
+    RequestArrived r = EngineDriver::request(label("r", i), now);
     r.customer = label("c", i);
-    r.set_size = kThousand;
-    r.first_gateway = i % kThousand;
+    r.gateway_set_size = kThousand;
+    r.first_gateway_index = i % kThousand;
     auto todo = d.step(now, {r});
-    ASSERT_EQ(all<AddToCounter>(todo).size(), 1u) << i;
-    const auto call = all<AddToCounter>(todo)[0];
+    ASSERT_EQ(all<IncrementCounter>(todo).size(), 1u) << i;
+    const auto call = all<IncrementCounter>(todo)[0];
     counted.insert(call.name);
     const auto sent = all<SendAttempt>(d.step(now, {totals.answer(call)}));
     ASSERT_EQ(sent.size(), 1u) << i;
-    used.insert(sent[0].server);
+    used.insert(sent[0].endpoint);
     d.end(now, sent[0], Outcome::kOk);
     d.run(now + kS / 2);
   }
   EXPECT_EQ(counted.size(), 2u * kThousand);
   EXPECT_GT(used.size(), 500u);  // a fresh draw each time would reach some 880
-  EXPECT_EQ(d.gateway().count_servers(now).listed, std::size_t(kThousand));
-  ServerListUpdate none;
+  EXPECT_EQ(d.gateway().count_endpoints(now).listed, std::size_t(kThousand));
+  EndpointListUpdate none;
   d.step(now, {none});
-  EXPECT_EQ(d.gateway().count_servers(now).listed, 0u);
+  EXPECT_EQ(d.gateway().count_endpoints(now).listed, 0u);
 }
 
 // Seconds of processor time that a thousand requests take among so many servers.
 double cpu_of_a_thousand_requests(int servers) {
   Settings s = basic_settings();
-  s.gateways = 300;
+  s.gateway_count = 300;
   s.plans[0].rate = s.plans[0].burst = 1e6;
   std::vector<std::string> names;
   for (int i = 0; i < servers; ++i) names.push_back(label("s", i));
-  Driver d(s, Driver::up(names));
+  EngineDriver d(s, EngineDriver::up(names));
   const std::clock_t began = std::clock();
   Micros now = kS;
   for (int i = 0; i < 1000; ++i, now += 30 * kMs) {
@@ -1451,25 +1456,25 @@
 }
 
 TEST(Module, UnknownPlanAndClassAreStillServed) {
-  Driver d;
-  RequestArrived r = Driver::request("x", 0);
+  EngineDriver d;
+  RequestArrived r = EngineDriver::request("x", 0);
   r.plan = "no such plan";
   r.request_class = "no such class";
-  r.set_size = 0;
+  r.gateway_set_size = 0;
   EXPECT_EQ(all<SendAttempt>(d.step(0, {r})).size(), 1u);
 }
 
 TEST(Module, SameEventsSameActions) {
   auto play = [] {
-    Driver d;
+    EngineDriver d;
     for (int i = 0; i < 50; ++i) d.burst(i * 30 * kMs, 3);
     d.run(3 * kS);
     std::vector<std::string> out;
-    for (const SendAttempt& a : all<SendAttempt>(d.log())) out.push_back(a.id + a.server);
+    for (const SendAttempt& a : all<SendAttempt>(d.log())) out.push_back(a.id + a.endpoint);
     return out;
   };
   EXPECT_EQ(play(), play());
 }
 
 }  // namespace
-}  // namespace cottonroad
+}  // namespace quota_gateway
--- a/tests/golden_trace_test.cpp
+++ b/tests/decision/golden_trace_test.cpp
@@ -14,10 +14,10 @@
 #include <variant>
 #include <vector>
 
-#include "codec.hpp"
-#include "cottonroad/gateway.hpp"
+#include "adapter/codec.hpp"
+#include "quota_gateway/decision_engine.hpp"
 
-namespace cottonroad {
+namespace quota_gateway {
 namespace {
 
 using wire::Json;
@@ -180,11 +180,11 @@
     if (random_.chance(0.1)) {
       Event event = *wire::parse_event(message, pools_);
       auto& arrived = std::get<RequestArrived>(event);
-      arrived.uploading = true;
+      arrived.body_pending = true;
       arrived.deadline = now + 60 * kOneSecond;
       plan(now, current_, event);
       const Micros complete = now + random_.between(kMillisecond, 300 * kMillisecond);
-      plan(complete, current_, BodyArrived{id, complete + Micros(request_class.at("GiveUpUs"))});
+      plan(complete, current_, RequestBodyCompleted{id, complete + Micros(request_class.at("GiveUpUs"))});
     } else {
       plan_json(now, current_, message);
     }
@@ -195,35 +195,37 @@
 
   void plan_operations() {
     const Micros end = end_of_requests();
-    plan(end * 3 / 10, 0, ServerSwitched{"e-3", true});
-    plan(end * 4 / 10, 0, ServerSwitched{"e-3", false});
-    plan(end * 45 / 100, 0, WallClockMoved{3 * kOneSecond});
+    plan(end * 3 / 10, 0, AdminStateChanged{"e-3", true});
+    plan(end * 4 / 10, 0, AdminStateChanged{"e-3", false});
+    plan(end * 45 / 100, 0, WallClockStepped{3 * kOneSecond});
     // A successor that dies before it has served, and then one that takes over.
-    plan_operation(end * 55 / 100, [this](Micros now) { record_state(now, gateways_[0].hand_over(now)); });
-    plan(end * 56 / 100, 0, TookBack{});
+    plan_operation(end * 55 / 100,
+                   [this](Micros now) { record_state(now, gateways_[0].begin_hot_restart(now)); });
+    plan(end * 56 / 100, 0, HotRestartAborted{});
     plan_operation(end * 7 / 10, [this](Micros now) { hand_over(now); });
   }
-  void record_state(Micros now, const Handover& state) {
-    const auto counts = gateways_[0].count_servers(now);
-    trace_ << "endpoints " << counts.listed << ' ' << counts.skipped << '\n';
-    trace_ << Json{{"customers", state.customers}, {"servers", state.servers}, {"fleet", state.fleet}}.dump()
-           << '\n';
+  void record_state(Micros now, const HotRestartState& state) {
+    const auto counts = gateways_[0].count_endpoints(now);
+    trace_ << "endpoints " << counts.listed << ' ' << counts.excluded << '\n';
+    trace_
+        << Json{{"customers", state.customers}, {"servers", state.endpoints}, {"fleet", state.fleet}}.dump()
+        << '\n';
   }
   void hand_over(Micros now) {
-    const Handover state = gateways_[0].hand_over(now);
+    const HotRestartState state = gateways_[0].begin_hot_restart(now);
     record_state(now, state);
     gateways_.emplace_back(wire::parse_settings(scenario_.settings), scenario_.seed + 1);
     current_ = 1;
     Json all = Json::array();
     for (int i = 0; i <= scenario_.endpoints; ++i) all.push_back(entry(i));
     plan_list(now, "Persisted", all);
-    plan(now, 1, WallClockMoved{3 * kOneSecond});
-    plan(now, 1, TookOver{state});
+    plan(now, 1, WallClockStepped{3 * kOneSecond});
+    plan(now, 1, StateRestored{state});
     plan_predecessor_attempts(now);
   }
   void plan_predecessor_attempts(Micros now) {
-    const auto open = gateways_[0].open_attempts();
-    plan(now, 1, PredecessorOpen{open});
+    const auto open = gateways_[0].attempts_in_flight();
+    plan(now, 1, PredecessorAttempts{open});
     if (open.empty()) return;
     plan_operation(now + 50 * kMillisecond, [this](Micros later) { plan_predecessor_attempts(later); });
   }
@@ -233,7 +235,7 @@
     gateways_[gateway].handle(now, events, actions);
     Json written = Json::array();
     for (const Action& action : actions) {
-      if (std::holds_alternative<LogLine>(action)) continue;
+      if (std::holds_alternative<LogMessage>(action)) continue;
       written.push_back(wire::write_action(action));
       std::visit([&](const auto& a) { act(now, gateway, a); }, action);
     }
@@ -278,18 +280,18 @@
   void act(Micros now, std::size_t gateway, const SendAttempt& a) {
     auto& attempts = attempts_[a.id];
     const int attempt = int(attempts.size());
-    attempts.push_back({a.server, false});
-    ++open_at_[a.server];
+    attempts.push_back({a.endpoint, false});
+    ++open_at_[a.endpoint];
     Micros duration = 0;
-    Json response = ending(now, a.id, a.server, a.timeout, duration);
+    Json response = ending(now, a.id, a.endpoint, a.timeout, duration);
     response["Go"] = attempt;
     if (response.at("Disposition") == "GOOD" && random_.chance(0.1)) {
-      StreamStarted started;
+      ResponseStarted started;
       started.id = a.id;
       started.attempt = attempt;
-      started.server = a.server;
+      started.endpoint = a.endpoint;
       started.duration = random_.chance(0.5) ? duration / 2 : 0;
-      started.billed = 1.5;
+      started.billed_units = 1.5;
       plan(now + duration / 2, gateway, started);
     }
     plan_operation(now + duration, [this, gateway, id = a.id, attempt, response](Micros later) {
@@ -303,7 +305,7 @@
     open.ended = true;
     --open_at_[open.endpoint];
     Event event = *wire::parse_event(response, pools_);
-    std::get<AttemptEnded>(event).repeatable = !random_.chance(0.02);
+    std::get<AttemptEnded>(event).replayable = !random_.chance(0.02);
     plan(now, gateway, event);
   }
   void act(Micros now, std::size_t gateway, const CancelAttempt& a) {
@@ -315,14 +317,14 @@
                  {"Disposition", "CXL"},
                  {"DurationUs", 10 * kMillisecond}});
   }
-  void act(Micros, std::size_t, const Refuse&) {}
-  void act(Micros, std::size_t, const Fail&) {}
+  void act(Micros, std::size_t, const RejectRequest&) {}
+  void act(Micros, std::size_t, const FailRequest&) {}
   void act(Micros, std::size_t gateway, const SetTimer& a) {
     if (a.at > end_of_requests() + 10 * kOneSecond) return;
     plan_json(a.at, gateway, {{"what", "Alarm"}, {"Label", a.token}});
   }
   void act(Micros, std::size_t, const SendProbe&) {}
-  void act(Micros now, std::size_t gateway, const AddToCounter& a) {
+  void act(Micros now, std::size_t gateway, const IncrementCounter& a) {
     const double progress = double(now) / double(end_of_requests());
     const bool down = progress > 0.62 && progress < 0.68;
     const bool forgot = progress > 0.35 && progress < 0.40;
@@ -340,16 +342,16 @@
                {"DurationUs", duration},
                {"Disposition", outcome}});
   }
-  void act(Micros now, std::size_t, const SubscribeList&) {
+  void act(Micros now, std::size_t, const SubscribeEndpoints&) {
     Json all = Json::array();
     for (int i = 0; i < scenario_.endpoints; ++i) all.push_back(entry(i));
     plan_list(now + 15 * kMillisecond, "Complete", all);
   }
-  void act(Micros, std::size_t, const LogLine&) {}
+  void act(Micros, std::size_t, const LogMessage&) {}
 
   const Scenario& scenario_;
   UniformSource random_;
-  std::vector<Gateway> gateways_;
+  std::vector<DecisionEngine> gateways_;
   std::size_t current_ = 0;  // the gateway that takes new requests
   wire::Pools pools_;
   std::priority_queue<Planned> agenda_;
@@ -478,4 +480,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad
+}  // namespace quota_gateway
--- a/tests/net/discovery_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -1,18 +1,18 @@
 // Discovery's client, against a discovery on loopback.
-#include "discovery.hpp"
+#include "discovery/discovery_client.hpp"
 
 #include <gtest/gtest.h>
 
-#include "loopback.hpp"
+#include "support/loopback.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
 class DiscoveryTest : public ::testing::Test {
  protected:
   DiscoveryTest() { discovery.start(); }
   void move(Micros by) {
-    timers.after(10'000, [] {});  // so that the timers look at the clock soon
+    timers.schedule_after(10'000, [] {});  // so that the timers look at the clock soon
     clock.move(by);
     wait(io, 50);
   }
@@ -20,9 +20,14 @@
   TestClock clock;
   Timers timers{io, clock};
   FakeDiscovery fake{io};
-  std::vector<MemberList> told;
-  Discovery discovery{
-      io, timers, clock, fake.address(), 41, 500'000, [this](const MemberList& l) { told.push_back(l); }};
+  std::vector<DiscoveryUpdate> told;
+  DiscoveryClient discovery{io,
+                            timers,
+                            clock,
+                            fake.address(),
+                            41,
+                            500'000,
+                            [this](const DiscoveryUpdate& l) { told.push_back(l); }};
 };
 
 TEST_F(DiscoveryTest, WatchesFromWhatIsKnownAndTellsChanges) {
@@ -31,8 +36,8 @@
   EXPECT_EQ(fake.asked.at(0), "/catalog/members?watch=1&after=41");
   EXPECT_EQ(told[0].revision, 43);
   EXPECT_FALSE(told[0].complete);
-  const auto& m = told[0].members.at(0);
-  EXPECT_EQ(m.entry.state, ServerState::kDraining);
+  const auto& m = told[0].endpoints.at(0);
+  EXPECT_EQ(m.entry.state, EndpointState::kDraining);
   EXPECT_EQ(m.entry.started_at, 1'500'000);
   EXPECT_EQ(m.entry.cell, 1);
   EXPECT_EQ(m.address.port(), 9);
@@ -114,7 +119,7 @@
 
 TEST_F(DiscoveryTest, AnAgentIsLeftItsTimeToAnswerWhereWeStoodStill) {
   // Guards against a good call given up: the connect's news and the end of its time come in one turn.
-  timers.after(0, [] {});  // so that the timers look at the clock at once
+  timers.schedule_after(0, [] {});  // so that the timers look at the clock at once
   clock.move(3'000'000);
   wait(io, 50);
   EXPECT_EQ(fake.peers.size(), 1u);
@@ -122,15 +127,15 @@
 }
 
 // What the calls after a watch that falls silent meet, before one that is answered well.
-class NewsTest : public ::testing::TestWithParam<std::tuple<Micros, std::vector<std::string>>> {
+class EndpointUpdateTest : public ::testing::TestWithParam<std::tuple<Micros, std::vector<std::string>>> {
  protected:
   // Moves the clock on in steps until it is `until`, or there is news; true if there is.
   bool told_by(Micros until) {
-    timers.after(1'000, [] {});  // so that the timers look at the clock soon
+    timers.schedule_after(1'000, [] {});  // so that the timers look at the clock soon
     clock.move(std::max<Micros>(0, until - clock.now() - 1'600'000));
     wait(io, 3);
     while (told.empty() && clock.now() < until) {
-      timers.after(1'000, [] {});
+      timers.schedule_after(1'000, [] {});
       clock.move(20'000);
       wait(io, 3);
     }
@@ -140,7 +145,7 @@
   TestClock clock;
   Timers timers{io, clock};
   FakeDiscovery fake{io}, other{io};
-  std::vector<MemberList> told;
+  std::vector<DiscoveryUpdate> told;
 };
 const std::string kSilent;
 const std::string kHeadAlone = FakeDiscovery::kHead;
@@ -148,10 +153,10 @@
 const std::string kTurnedAway = reply("503 No");
 const std::string kSpoilt = kHeadAlone + FakeDiscovery::chunk("{\"revision\":\"x\"}\n");
 
-TEST_P(NewsTest, IsKnownSixSecondsAfterTheWatchFellSilentWhateverFailsBefore) {
+TEST_P(EndpointUpdateTest, IsKnownSixSecondsAfterTheWatchFellSilentWhateverFailsBefore) {
   const auto& [grace, failures] = GetParam();
-  Discovery discovery(io, timers, clock, fake.address(), 41, grace,
-                      [this](const MemberList& l) { told.push_back(l); });
+  DiscoveryClient discovery(io, timers, clock, fake.address(), 41, grace,
+                            [this](const DiscoveryUpdate& l) { told.push_back(l); });
   discovery.start();
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
   wait(io, 20);
@@ -161,10 +166,10 @@
   EXPECT_TRUE(told_by(clock.now() + 6'000'000)) << fake.asked.size() << " calls";
 }
 
-TEST_P(NewsTest, IsKnownInTimeOverAMoveAmidFailures) {
+TEST_P(EndpointUpdateTest, IsKnownInTimeOverAMoveAmidFailures) {
   const auto& [grace, failures] = GetParam();
-  Discovery discovery(io, timers, clock, fake.address(), 41, grace,
-                      [this](const MemberList& l) { told.push_back(l); });
+  DiscoveryClient discovery(io, timers, clock, fake.address(), 41, grace,
+                            [this](const DiscoveryUpdate& l) { told.push_back(l); });
   discovery.start();
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
   wait(io, 20);
@@ -174,11 +179,11 @@
   other.instead.assign(failures.begin(), failures.end());
   const Micros silent = clock.now();
   EXPECT_FALSE(told_by(silent + 4'700'000));
-  discovery.move(other.address());
+  discovery.reconnect_to(other.address());
   EXPECT_TRUE(told_by(silent + 6'000'000)) << other.asked.size() << " calls";
 }
 INSTANTIATE_TEST_SUITE_P(
-    Failures, NewsTest,
+    Failures, EndpointUpdateTest,
     ::testing::Combine(::testing::Values(250'000, 500'000, 8'000'000),
                        ::testing::Values(std::vector<std::string>{kSilent, kSilent},
                                          std::vector<std::string>{kHeadAlone},
@@ -194,7 +199,7 @@
   ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
   FakeDiscovery lagging(io);
   lagging.first = list(42, true, entry("s1", "127.0.0.1:9"));
-  discovery.move(lagging.address());
+  discovery.reconnect_to(lagging.address());
   ASSERT_TRUE(until(io, [&] { return lagging.asked.size() == 1; }));
   EXPECT_EQ(lagging.asked[0], "/catalog/members?watch=1&after=43");
   wait(io, 20);
@@ -209,7 +214,7 @@
   const auto text = list(44, true, entry("s\\\"{", "127.0.0.1:9"));
   fake.first = nlohmann::json::parse(text).dump(1) + "\n\n" + list(45, false, "");
   ASSERT_TRUE(until(io, [&] { return told.size() == 2; }));
-  EXPECT_EQ(told[0].members.at(0).entry.server, "s\"{");
+  EXPECT_EQ(told[0].endpoints.at(0).entry.endpoint, "s\"{");
   EXPECT_EQ(fake.asked.size(), 1u);
 }
 
@@ -219,8 +224,8 @@
         R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"nowhere:1"}]})",
         R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"127.0.0.1:99999"}]})",
         R"({"revision":1,"members":[{"id":"s","phase":"odd","host_port":"127.0.0.1:9"}]})"})
-    EXPECT_ANY_THROW(parse_members(nlohmann::json::parse(text))) << text;
+    EXPECT_ANY_THROW(parse_discovery_update(nlohmann::json::parse(text))) << text;
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/embed/run.sh
+++ b/tests/embed/run.sh
@@ -7,7 +7,7 @@
 cmake --install "$build" --prefix "$work/prefix" >/dev/null
 sed -n '/^```cpp$/,/^```$/p' "$root/README.md" | sed '1d;$d' >"$work/example.cpp"
 flags=""
-grep -q 'COTTONROAD_SANITIZE:BOOL=ON' "$build/CMakeCache.txt" && flags="-fsanitize=address,undefined"
+grep -q 'QUOTA_GATEWAY_SANITIZE:BOOL=ON' "$build/CMakeCache.txt" && flags="-fsanitize=address,undefined"
 cmake -S "$root/tests/embed" -B "$work/build" -DCMAKE_PREFIX_PATH="$work/prefix" \
   -DEXAMPLE="$work/example.cpp" -DCMAKE_CXX_FLAGS="$flags" >/dev/null
 cmake --build "$work/build" >/dev/null
--- a/tests/net/stored_files_test.cpp
+++ b/tests/restart/stored_files_test.cpp
@@ -11,9 +11,9 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "process.hpp"
+#include "support/process.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
 namespace fs = std::filesystem;
@@ -204,4 +204,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/net/driver_test.cpp
+++ b/tests/runtime/coordinator_test.cpp
@@ -1,14 +1,14 @@
 // A whole gateway in one loop with its clients, servers, counter and discovery.
-#include "driver.hpp"
+#include "runtime/coordinator.hpp"
 
 #include <gtest/gtest.h>
 
-#include "loopback.hpp"
+#include "support/loopback.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
-class DriverTest : public ::testing::Test {
+class CoordinatorTest : public ::testing::Test {
  protected:
   int status(Client& c) {
     const auto answer = c.receive();
@@ -18,7 +18,7 @@
   FakeServer s1{rig.io}, s2{rig.io}, s3{rig.io}, s4{rig.io};
 };
 
-TEST_F(DriverTest, ServesUnchangedAndKeepsTheConnection) {
+TEST_F(CoordinatorTest, ServesUnchangedAndKeepsTheConnection) {
   rig.know(member("s1", s1));
   rig.start();
   Client c = rig.client();
@@ -35,14 +35,14 @@
   EXPECT_EQ(s1.peers.size(), 1u);
 }
 
-TEST_F(DriverTest, Health) {
+TEST_F(CoordinatorTest, Health) {
   rig.start();
   Client c = rig.client();
   c.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
   EXPECT_EQ(status(c), 200);
 }
 
-TEST_F(DriverTest, MalformedOrOversizedInputIsAnsweredAndClosed) {
+TEST_F(CoordinatorTest, MalformedOrOversizedInputIsAnsweredAndClosed) {
   rig.start();
   const std::string head = "GET /profile-read/00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\n";
   const std::map<std::string, int> inputs = {
@@ -73,7 +73,7 @@
   }
 }
 
-TEST_F(DriverTest, APeerThatSendsNoWholeRequestIsClosedAndAClientBetweenRequestsIsKept) {
+TEST_F(CoordinatorTest, APeerThatSendsNoWholeRequestIsClosedAndAClientBetweenRequestsIsKept) {
   rig.know(member("s1", s1));
   rig.start();
   Client known = rig.client(), silent = rig.client(), partial = rig.client();
@@ -86,7 +86,7 @@
   EXPECT_EQ(status(known), 200);
 }
 
-TEST_F(DriverTest, RequestsInPiecesAndBehindEachOther) {
+TEST_F(CoordinatorTest, RequestsInPiecesAndBehindEachOther) {
   rig.know(member("s1", s1));
   rig.start();
   Client c = rig.client();
@@ -97,7 +97,7 @@
   EXPECT_EQ(status(c), 200);
 }
 
-TEST_F(DriverTest, DeadlinesAreKept) {
+TEST_F(CoordinatorTest, DeadlinesAreKept) {
   // A silent server: the answer comes before the client's own time is up, once.
   s1.on_request = [](Peer&, const Request_&) {};
   rig.know(member("s1", s1));
@@ -111,7 +111,7 @@
   EXPECT_EQ(s1.requests.size(), 2u);
 }
 
-TEST_F(DriverTest, AKeyedRetryStaysInItsCell) {
+TEST_F(CoordinatorTest, AKeyedRetryStaysInItsCell) {
   // What may have run goes again only to the servers that share its key.
   std::vector<std::string> cells;
   const auto serve = [&cells](const std::string& cell) {
@@ -137,7 +137,7 @@
   }
 }
 
-TEST_F(DriverTest, AKeyedRequestAloneInItsCellFailsAndIsNotRefused) {
+TEST_F(CoordinatorTest, AKeyedRequestAloneInItsCellFailsAndIsNotRefused) {
   int seen = 0;
   s1.on_request = s2.on_request = [&](Peer& p, const Request_&) {
     ++seen;
@@ -152,7 +152,7 @@
   EXPECT_EQ(seen, 1);
 }
 
-TEST_F(DriverTest, WhatNeverRanGoesToAnotherServer) {
+TEST_F(CoordinatorTest, WhatNeverRanGoesToAnotherServer) {
   int turned = 0;
   const auto busy = [&](Peer& p, const Request_&) {
     if (++turned == 1) return p.write(reply("503 Full", "X-Never-Ran: 1\r\n"));
@@ -168,7 +168,7 @@
   EXPECT_EQ(turned, 2);
 }
 
-TEST_F(DriverTest, AClientThatLeavesEndsItsAttempt) {
+TEST_F(CoordinatorTest, AClientThatLeavesEndsItsAttempt) {
   s1.on_request = [](Peer&, const Request_&) {};
   rig.know(member("s1", s1));
   rig.start();
@@ -184,9 +184,9 @@
   EXPECT_EQ(status(other), 200);
 }
 
-TEST_F(DriverTest, BeyondTheQuotaIsRefusedAtOnceWithAdvice) {
+TEST_F(CoordinatorTest, BeyondTheQuotaIsRefusedAtOnceWithAdvice) {
   // Guards against refusals that do not say when to come back, also where the site's own clients do not ask.
-  rig.config.settings.may_advise = false;
+  rig.config.settings.allow_retry_after = false;
   rig.config.settings.plans[0].rate = 1;
   rig.config.settings.plans[0].burst = 3;
   rig.know(member("s1", s1));
@@ -205,8 +205,8 @@
   EXPECT_GT(refused, 1);
 }
 
-TEST_F(DriverTest, UnitsBilledWithTheAnswerAreTakenFromTheQuota) {
-  rig.config.settings.settles_later = true;
+TEST_F(CoordinatorTest, UnitsBilledWithTheAnswerAreTakenFromTheQuota) {
+  rig.config.settings.settles_units_later = true;
   rig.config.settings.plans[0].rate = 1e-6;
   rig.config.settings.plans[0].burst = 30;  // ten of them here: the customer comes through three gateways
   rig.know(member("s1", s1));
@@ -221,7 +221,7 @@
   }
 }
 
-TEST_F(DriverTest, TotalsComeFromTheCounterAndItsSilenceLetsRequestsPass) {
+TEST_F(CoordinatorTest, TotalsComeFromTheCounterAndItsSilenceLetsRequestsPass) {
   FakeCounter counter(rig.io);
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 30'000;
@@ -240,7 +240,7 @@
   EXPECT_EQ(status(c), 200);
 }
 
-TEST_F(DriverTest, FollowsDiscovery) {
+TEST_F(CoordinatorTest, FollowsDiscovery) {
   rig.know(member("s1", s1));
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
@@ -259,7 +259,7 @@
   EXPECT_EQ(s1.requests.size(), before);
 }
 
-TEST_F(DriverTest, DrainFinishesWhatIsHeldAndTakesWhatStillComes) {
+TEST_F(CoordinatorTest, DrainFinishesWhatIsHeldAndTakesWhatStillComes) {
   std::shared_ptr<Peer> held;
   s1.on_request = [&](Peer& p, const Request_&) {
     if (!held) {
@@ -269,17 +269,17 @@
     }
   };
   s2.on_request = s1.on_request;
-  rig.config.settings.gateways = 1;
+  rig.config.settings.gateway_count = 1;
   rig.know(member("s1", s1));
   rig.know(member("s2", s2));
-  Driver& driver = rig.start();
+  Coordinator& coordinator = rig.start();
   Client idle = rig.client(), busy = rig.client();
   idle.send("GET /profile-read/nobody HTTP/1.1\r\n\r\n");
   EXPECT_EQ(status(idle), 400);
   busy.send(get("a"));
   ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
   bool done = false;
-  driver.drain([&] { done = true; });
+  coordinator.drain([&] { done = true; });
   Client late = rig.client();
   late.send(get("b"));
   const auto answer = late.receive();
@@ -293,13 +293,13 @@
   EXPECT_TRUE(rig.until([&] { return done; }));
 }
 
-TEST_F(DriverTest, AClientThatConnectedBeforeTheEndMayStillSendItsRequestSlowly) {
+TEST_F(CoordinatorTest, AClientThatConnectedBeforeTheEndMayStillSendItsRequestSlowly) {
   rig.know(member("s1", s1));
-  Driver& driver = rig.start();
+  Coordinator& coordinator = rig.start();
   Client slow = rig.client();
   bool done = false, later = false;
   ASSERT_TRUE(rig.until([&] { return s1.peers.empty(); }));
-  driver.drain([&] { done = true; });
+  coordinator.drain([&] { done = true; });
   asio::steady_timer timer(rig.io, std::chrono::milliseconds(1200));  // new ones have been let in for 1 s
   timer.async_wait([&](error_code) { later = true; });
   ASSERT_TRUE(rig.until([&] { return later; }));
@@ -309,18 +309,18 @@
   EXPECT_TRUE(rig.until([&] { return done; }));
 }
 
-TEST_F(DriverTest, WhatIsHeldAtADrainIsAnsweredBeforeTheEarliestKillThoughItsServerHangs) {
+TEST_F(CoordinatorTest, WhatIsHeldAtADrainIsAnsweredBeforeTheEarliestKillThoughItsServerHangs) {
   // SIGKILL may come the longest deadline (3 s at most) + 0.7 s after SIGTERM, to a process held up for 0.15
   // s.
   s1.on_request = [](Peer&, const Request_&) {};
-  rig.config.settings.may_cancel = false;
+  rig.config.settings.allow_cancel = false;
   rig.know(member("s1", s1));
-  Driver& driver = rig.start();
+  Coordinator& coordinator = rig.start();
   Client before = rig.client(), after = rig.client(), late = rig.client();
   before.send(post("before"));
   ASSERT_TRUE(rig.until([&] { return s1.requests.size() == 1; }));
   const auto began = std::chrono::steady_clock::now();
-  driver.drain([] {});
+  coordinator.drain([] {});
   after.send(post("after"));
   wait(rig.io, 1'900);
   late.send(post("late"));
@@ -330,23 +330,23 @@
   }
 }
 
-TEST_F(DriverTest, DrainClosesConnectionsBetweenRequests) {
+TEST_F(CoordinatorTest, DrainClosesConnectionsBetweenRequests) {
   rig.know(member("s1", s1));
-  Driver& driver = rig.start();
+  Coordinator& coordinator = rig.start();
   Client c = rig.client();
   c.send(get("a"));
   ASSERT_EQ(status(c), 200);
-  driver.drain([] {});
+  coordinator.drain([] {});
   EXPECT_TRUE(c.ended());
 }
 
-TEST_F(DriverTest, IdleClientsMakeRoomForNewOnes) {
-  rig.config.sockets = 64;  // 32 clients
+TEST_F(CoordinatorTest, IdleClientsMakeRoomForNewOnes) {
+  rig.config.max_sockets = 64;  // 32 clients
   rig.know(member("s1", s1));
   rig.start();
   std::deque<Client> clients;
   for (int i = 0; i < 40; ++i) {
-    clients.emplace_back(rig.io, rig.driver->address());
+    clients.emplace_back(rig.io, rig.coordinator->address());
     clients.back().send(get("t" + std::to_string(i)));
     EXPECT_EQ(status(clients.back()), 200) << i;
   }
@@ -354,4 +354,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/net/process_test.cpp
+++ b/tests/runtime/process_test.cpp
@@ -1,7 +1,7 @@
 // The program itself: its start, a bad configuration, SIGTERM with a request held, SIGHUP.
-#include "process.hpp"
+#include "support/process.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
 TEST(Process, BadConfigurationIsOneLineAndNotNought) {
@@ -237,7 +237,7 @@
       p.write(reply("200 OK", "", "x"));
     }
   };
-  char shared[] = "/tmp/cottonroad-test-XXXXXX";
+  char shared[] = "/tmp/quota-gateway-test-XXXXXX";
   ASSERT_NE(::mkdtemp(shared), nullptr);
   tcp::acceptor platform(io, {asio::ip::address_v4::loopback(), 0});
   const auto port = platform.local_endpoint().port();
@@ -286,4 +286,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/net/fault_test.cpp
+++ b/tests/runtime/system_call_fault_test.cpp
@@ -1,9 +1,9 @@
 // The program itself while system calls fail as Linux documents, and clients that stop amid a request.
 #include <filesystem>
 
-#include "process.hpp"
+#include "support/process.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
 using SteadyClock = std::chrono::steady_clock;
@@ -142,18 +142,18 @@
 }
 
 TEST_F(FaultTest, ASuccessorGoesOnByThePredecessorsClockOverAStepOfTheWallClock) {
-  char shared[] = "/tmp/cottonroad-test-XXXXXX";
+  char shared[] = "/tmp/quota-gateway-test-XXXXXX";
   ASSERT_NE(::mkdtemp(shared), nullptr);
-  EXPECT_FALSE(predecessor_clock(shared));
+  EXPECT_FALSE(predecessor_clock_offset(shared));
   tcp::acceptor platform(io, {asio::ip::address_v4::loopback(), 0});
   port = platform.local_endpoint().port();
   Process before(config(port, server, discovery), platform.native_handle(), shared);
   ASSERT_NE(before.log_until(": ready").find(": ready"), std::string::npos);
-  const auto clock = predecessor_clock(shared);
+  const auto clock = predecessor_clock_offset(shared);
   ASSERT_TRUE(clock);
   EXPECT_NEAR(double(Clock(*clock).now()), double(Clock().now()), 1e6);
   before.kill();
-  EXPECT_FALSE(predecessor_clock(shared));
+  EXPECT_FALSE(predecessor_clock_offset(shared));
   for (const char* file : {"owner.json", "disabled.json"})
     ::unlink((std::string(shared) + "/" + file).c_str());
   EXPECT_EQ(::rmdir(shared), 0);
@@ -229,7 +229,7 @@
     process.emplace(with_admin(admin), -1, shared, faults);
     ASSERT_NE(process->log_until(": ready").find(": ready"), std::string::npos);
   }
-  char shared[32] = "/tmp/cottonroad-test-XXXXXX";
+  char shared[32] = "/tmp/quota-gateway-test-XXXXXX";
   std::uint16_t admin = free_port(io), admin_after = free_port(io);
   std::optional<Process> after;
 };
@@ -276,4 +276,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/net/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -1,13 +1,13 @@
 // Seeded runs of the program itself amid everything at once: system calls that fail, a stepped wall clock,
 // servers that hang, reset, turn away and drain, clients that leave or stop, signals in series, and an end by
-// SIGKILL at the earliest moment. COTTONROAD_SOAK="FIRST COUNT" chooses the seeds.
+// SIGKILL at the earliest moment. QUOTA_GATEWAY_SOAK="FIRST COUNT" chooses the seeds.
 #include <random>
 #include <set>
 #include <sstream>
 
-#include "process.hpp"
+#include "support/process.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
 using SteadyClock = std::chrono::steady_clock;
@@ -223,7 +223,7 @@
 
 TEST(Soak, NoRequestIsLostLateOrMisroutedAmidEverythingAtOnce) {
   unsigned first = 1, count = 6;
-  if (const char* chosen = std::getenv("COTTONROAD_SOAK")) std::istringstream(chosen) >> first >> count;
+  if (const char* chosen = std::getenv("QUOTA_GATEWAY_SOAK")) std::istringstream(chosen) >> first >> count;
   for (unsigned seed = first; seed < first + count; ++seed) {
     SCOPED_TRACE(::testing::Message() << "seed " << seed);
     Soak(seed).run();
@@ -231,4 +231,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/net/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -17,9 +17,9 @@
 #include <string>
 #include <vector>
 
-#include "driver.hpp"
+#include "runtime/coordinator.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
@@ -274,9 +274,9 @@
          "\r\nContent-Length: 5\r\nQuota-Info: units=1,spread=3,first=0\r\n\r\nhello";
 }
 
-inline Member member(const std::string& id, const Listener& at, std::int64_t cell = 0) {
-  Member m;
-  m.entry.server = id;
+inline DiscoveredEndpoint member(const std::string& id, const Listener& at, std::int64_t cell = 0) {
+  DiscoveredEndpoint m;
+  m.entry.endpoint = id;
   m.entry.zone = "a";
   m.entry.cell = cell;
   m.address = at.address();
@@ -303,18 +303,18 @@
     config.seed = 7;
     Settings& s = config.settings;
     s.zone = "a";
-    s.gateways = 3;
+    s.gateway_count = 3;
     s.max_attempts = 4;
-    s.may_cancel = s.may_advise = true;
+    s.allow_cancel = s.allow_retry_after = true;
     s.max_retry_after = 2'000'000;
     s.drain_grace = 500'000;
     ClassSettings read, intro;
     read.name = "profile-read";
-    read.repeat = Repeat::kSafe;
+    read.idempotency = Idempotency::kIdempotent;
     intro.name = "intro-request";
-    intro.repeat = Repeat::kKeyed;
-    intro.aim = 2'000'000;
-    intro.late_worth = 0.2;
+    intro.idempotency = Idempotency::kByKey;
+    intro.latency_objective = 2'000'000;
+    intro.late_weight = 0.2;
     intro.dedup_window = 8'000'000;
     s.classes = {read, intro};
     PlanSettings plan;
@@ -322,19 +322,19 @@
     plan.rate = 1000;
     plan.burst = 1000;
     s.plans = {plan};
-    config.known.complete = true;
-    config.known.revision = 41;
+    config.initial_endpoints.complete = true;
+    config.initial_endpoints.revision = 41;
   }
-  void know(const Member& m) { config.known.members.push_back(m); }
-  Driver& start() { return driver.emplace(io, config, clock); }
-  Client client() { return {io, driver->address()}; }
+  void know(const DiscoveredEndpoint& m) { config.initial_endpoints.endpoints.push_back(m); }
+  Coordinator& start() { return coordinator.emplace(io, config, clock); }
+  Client client() { return {io, coordinator->address()}; }
   bool until(const std::function<bool()>& done) { return testing::until(io, done); }
 
   asio::io_context io;
   TestClock clock;
   FakeDiscovery discovery;
-  Config config;
-  std::optional<Driver> driver;
+  Configuration config;
+  std::optional<Coordinator> coordinator;
 };
 
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/net/process.hpp
+++ b/tests/support/process.hpp
@@ -10,9 +10,9 @@
 
 #include <fstream>
 
-#include "loopback.hpp"
+#include "support/loopback.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 
 class Process {
  public:
@@ -24,10 +24,10 @@
     path_ = from.path;
     start(-1, "");
   }
-  // `faults`: how its system calls fail, in the words of tests/net/faults.cpp.
+  // `faults`: how its system calls fail, in the words of tests/support/system_call_faults.cpp.
   explicit Process(const std::string& config, int listener = -1, const std::string& shared = "",
                    const std::string& faults = "") {
-    char name[] = "/tmp/cottonroad-test-XXXXXX";
+    char name[] = "/tmp/quota-gateway-test-XXXXXX";
     const int file = ::mkstemp(name);
     path_ = name;
     EXPECT_EQ(::write(file, config.data(), config.size()), ssize_t(config.size()));
@@ -45,15 +45,15 @@
       ::setenv("RELAY_CONFIG", path_.c_str(), 1);
       ::setenv("TMPDIR", shared.c_str(), 1);
       if (!faults.empty()) {
-        ::setenv("LD_PRELOAD", COTTONROAD_FAULT_LIBRARY, 1);
-        ::setenv("COTTONROAD_FAULTS", faults.c_str(), 1);
+        ::setenv("LD_PRELOAD", FAULT_INJECTION_LIBRARY, 1);
+        ::setenv("INJECTED_FAULTS", faults.c_str(), 1);
         ::setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);  // the library comes before the sanitizer's
       }
       if (listener >= 0) {
         ::dup2(listener, 5);
         ::setenv("RELAY_LISTEN_FD", "5", 1);
       }
-      ::execl(COTTONROAD_GATEWAY_PROGRAM, COTTONROAD_GATEWAY_PROGRAM, nullptr);
+      ::execl(GATEWAY_PROGRAM, GATEWAY_PROGRAM, nullptr);
       ::_exit(127);
     }
     ::close(ends[1]);
@@ -140,4 +140,4 @@
       "TiersOfService":[{"Name":"plan-group","QuotaRate":9,"Depth":9}],"Limits":{"MaxAttempts":4}}})";
 }
 
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
--- a/tests/net/faults.cpp
+++ b/tests/support/system_call_faults.cpp
@@ -1,6 +1,6 @@
 // A library that the tests preload into the gateway process: system calls fail as Linux documents.
 //
-// COTTONROAD_FAULTS holds words of three forms, separated by spaces:
+// INJECTED_FAULTS holds words of three forms, separated by spaces:
 //   CALL:ERRNO:TIMES[:AFTER_MS]  the next TIMES calls fail so, once the process has run for AFTER_MS
 //   random:SEED:PERMILLE         so many of the calls fail for a moment, or transfer one part only
 //   wall:SECONDS:AFTER_MS        the wall clock is stepped by so much
@@ -44,7 +44,7 @@
 class Plan {
  public:
   Plan() {
-    const char* text = ::getenv("COTTONROAD_FAULTS");
+    const char* text = ::getenv("INJECTED_FAULTS");
     std::istringstream words(text ? text : "");
     for (std::string word; words >> word;) read(word);
   }
@@ -112,7 +112,7 @@
   if (!readable(fd)) return call(fd, address, length);
   const int error = plan().error("accept", {ECONNABORTED, ENFILE, ENOBUFS, EINTR, EPROTO});
   if (error == 0) return call(fd, address, length);
-  if (error == ECONNABORTED && ::getenv("COTTONROAD_FAULTS_ABORT")) ::close(call(fd, address, length));
+  if (error == ECONNABORTED && ::getenv("INJECTED_FAULTS_ABORT")) ::close(call(fd, address, length));
   return fail(error);
 }
 
--- a/tests/net/upstream_test.cpp
+++ b/tests/upstream/upstream_test.cpp
@@ -1,11 +1,11 @@
 // Attempts and pools, against servers on loopback: each row of the protocol's outcome table.
-#include "upstream.hpp"
+#include "upstream/upstream.hpp"
 
 #include <gtest/gtest.h>
 
-#include "loopback.hpp"
+#include "support/loopback.hpp"
 
-namespace cottonroad::net::testing {
+namespace quota_gateway::net::testing {
 namespace {
 
 class UpstreamTest : public ::testing::Test {
@@ -13,17 +13,17 @@
   void make(UpstreamLimits limits = {}) {
     upstream.emplace(
         io, timers, clock, limits, budget,
-        Upstream::Calls{
+        Upstream::Callbacks{
             [this](AttemptKey key, AttemptResult result) { results.emplace_back(key, std::move(result)); },
             [this] { ++written; },
             [this](AttemptKey, const AttemptResult&, std::optional<std::uint64_t> l) { begun.push_back(l); },
             [this](AttemptKey key, std::string bytes) {
               passed += bytes;
-              if (takes) asio::post(io, [this, key] { upstream->more(key); });
+              if (takes) asio::post(io, [this, key] { upstream->request_more(key); });
             }});
     list.complete = true;
-    list.members = {member("s", server)};
-    upstream->update(list);
+    list.endpoints = {member("s", server)};
+    upstream->update_endpoints(list);
   }
   void send(std::uint64_t request) { upstream->send({request, 0}, "s", outgoing, clock.now() + 10'000'000); }
   // Sends and waits for the result.
@@ -41,7 +41,7 @@
     make();
     return result(1).outcome;
   }
-  MemberList list;
+  DiscoveryUpdate list;
   asio::io_context io;
   TestClock clock;
   Timers timers{io, clock};
@@ -53,7 +53,7 @@
   std::string passed;
   std::vector<std::optional<std::uint64_t>> begun;
   std::optional<Upstream> upstream;
-  Outgoing outgoing{"POST", "/intro-request/1?q", "origin.svc", "t1", "k1", "hello"};
+  OutgoingRequest outgoing{"POST", "/intro-request/1?q", "origin.svc", "t1", "k1", "hello"};
 };
 
 TEST_F(UpstreamTest, ServedWithTheBodyAndTheLoad) {
@@ -97,7 +97,7 @@
   std::uint64_t id = 0;
   for (const auto& [text, units] : told) {
     now = text;
-    EXPECT_DOUBLE_EQ(result(++id).billed, units) << text;
+    EXPECT_DOUBLE_EQ(result(++id).billed_units, units) << text;
   }
 }
 
@@ -105,8 +105,8 @@
 
 TEST_F(UpstreamTest, TurnedAwayOnlyWithTheProof) {
   // Guards against taking a proxy's or a busy server's own 503 for proof that nothing ran.
-  EXPECT_EQ(outcome_of(reply("503 No", "X-Never-Ran: 1\r\n")), Outcome::kFull);
-  EXPECT_EQ(outcome_of(reply("504 No", "X-Never-Ran: 1\r\n")), Outcome::kFull);
+  EXPECT_EQ(outcome_of(reply("503 No", "X-Never-Ran: 1\r\n")), Outcome::kOverloaded);
+  EXPECT_EQ(outcome_of(reply("504 No", "X-Never-Ran: 1\r\n")), Outcome::kOverloaded);
   EXPECT_EQ(outcome_of(reply("503 No")), Outcome::kError);
   EXPECT_EQ(outcome_of(reply("504 No")), Outcome::kError);
   EXPECT_EQ(outcome_of(reply("503 No", "X-Never-Ran: 0\r\n")), Outcome::kError);
@@ -129,8 +129,8 @@
     fillers.back().async_connect(full.local_endpoint(), [](error_code) {});
   }
   make({15'000'000, 50'000, 10});
-  list.members[0].address = full.local_endpoint();
-  upstream->update(list);
+  list.endpoints[0].address = full.local_endpoint();
+  upstream->update_endpoints(list);
   EXPECT_EQ(result(1).outcome, Outcome::kConnectFailed);
 }
 
@@ -146,8 +146,8 @@
     });
   });
   make();
-  list.members[0].address = acceptor.local_endpoint();
-  upstream->update(list);
+  list.endpoints[0].address = acceptor.local_endpoint();
+  upstream->update_endpoints(list);
   EXPECT_EQ(result(1).outcome, Outcome::kConnectFailed);
 }
 
@@ -174,13 +174,13 @@
       make();
       send(1);
       // All of it has been read before the connection ends.
-      ASSERT_TRUE(until(io, [&] { return sent && (body.size() < kWhole || passed == body); }));
+      ASSERT_TRUE(until(io, [&] { return sent && (body.size() < kBufferedBodyLimit || passed == body); }));
       wait(io, 1);
       const auto before = results.size();
       orderly ? peer->close() : peer->reset();
       ASSERT_TRUE(until(io, [&] { return results.size() > before; }));
       EXPECT_EQ(results.back().second.outcome, orderly ? Outcome::kOk : Outcome::kReset);
-      EXPECT_EQ(results.back().second.body, orderly && body.size() < kWhole ? body : "");
+      EXPECT_EQ(results.back().second.body, orderly && body.size() < kBufferedBodyLimit ? body : "");
     }
 }
 
@@ -190,19 +190,19 @@
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   tcp::socket peer(io), trigger(io), other(io);
   acceptor.async_accept(peer, [](error_code) {});
-  outgoing.upload = std::make_shared<Upload>(10);
+  outgoing.upload = std::make_shared<BodyUpload>(10);
   bool wanted = false;
-  outgoing.upload->wanted = [&] { wanted = true; };
+  outgoing.upload->on_consumer_ready = [&] { wanted = true; };
   make();
-  list.members[0].address = acceptor.local_endpoint();
-  upstream->update(list);
+  list.endpoints[0].address = acceptor.local_endpoint();
+  upstream->update_endpoints(list);
   send(1);
   ASSERT_TRUE(until(io, [&] { return wanted && peer.is_open(); }));
   acceptor.async_accept(other, [](error_code) {});
   trigger.connect(acceptor.local_endpoint());
   ASSERT_TRUE(until(io, [&] { return other.is_open(); }));
   asio::write(peer, asio::buffer(std::string_view("HTTP/1.1 200 OK\r\n\r\nhalf")));
-  trigger.async_wait(tcp::socket::wait_read, [&](error_code) { outgoing.upload->put("0123456789"); });
+  trigger.async_wait(tcp::socket::wait_read, [&](error_code) { outgoing.upload->append("0123456789"); });
   while (io.poll() > 0) io.restart();
   io.restart();
   asio::write(other, asio::buffer(std::string_view("x")));
@@ -243,7 +243,7 @@
   io.run_for(std::chrono::milliseconds(100));
   EXPECT_EQ(passed.size(), first);  // nothing more is asked for
   takes = true;
-  upstream->more({1, 0});
+  upstream->request_more({1, 0});
   ASSERT_TRUE(until(io, [&] { return results.size() == 1; }));
   EXPECT_EQ(passed.size(), 900'000u);
   EXPECT_EQ(results[0].second.outcome, Outcome::kOk);
@@ -276,10 +276,10 @@
   server.on_request = [](Peer&, const Request_&) {};
   make();
   send(1);
-  EXPECT_FALSE(upstream->abandon({1, 0}));  // still connecting
+  EXPECT_FALSE(upstream->cancel({1, 0}));  // still connecting
   send(2);
   ASSERT_TRUE(until(io, [&] { return !server.requests.empty(); }));
-  EXPECT_TRUE(upstream->abandon({2, 0}));
+  EXPECT_TRUE(upstream->cancel({2, 0}));
   ASSERT_TRUE(until(io, [&] { return server.peers.back()->over; }));
   EXPECT_TRUE(results.empty());  // who abandons hears no more of it
 }
@@ -290,19 +290,19 @@
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   tcp::socket peer(io);
   acceptor.async_accept(peer, [](error_code) {});
-  outgoing.upload = std::make_shared<Upload>(10);
+  outgoing.upload = std::make_shared<BodyUpload>(10);
   bool wanted = false;
-  outgoing.upload->wanted = [&] { wanted = true; };
+  outgoing.upload->on_consumer_ready = [&] { wanted = true; };
   make();
-  list.members[0].address = acceptor.local_endpoint();
-  upstream->update(list);
+  list.endpoints[0].address = acceptor.local_endpoint();
+  upstream->update_endpoints(list);
   send(1);
   ASSERT_TRUE(until(io, [&] { return wanted && peer.is_open(); }));
   while (io.poll() > 0) io.restart();
   io.restart();
   peer.shutdown(tcp::socket::shutdown_send);
   asio::post(io, [&] {
-    outgoing.upload->put("0123456789");
+    outgoing.upload->append("0123456789");
     outgoing.upload->finish();
   });
   ASSERT_TRUE(until(io, [&] { return results.size() == 1; }));
@@ -316,11 +316,11 @@
   tcp::socket peer(io);
   acceptor.async_accept(peer, [](error_code) {});
   make();
-  list.members[0].address = acceptor.local_endpoint();
-  upstream->update(list);
+  list.endpoints[0].address = acceptor.local_endpoint();
+  upstream->update_endpoints(list);
   send(1);
   ASSERT_TRUE(until(io, [&] { return peer.is_open() && peer.available() > 0; }));
-  EXPECT_FALSE(upstream->abandon({1, 0}));
+  EXPECT_FALSE(upstream->cancel({1, 0}));
 }
 
 TEST_F(UpstreamTest, ConnectionsAreKeptAndReused) {
@@ -381,8 +381,8 @@
   make();
   send(1);
   list.complete = false;
-  list.members[0].entry.state = ServerState::kDraining;
-  upstream->update(list);
+  list.endpoints[0].entry.state = EndpointState::kDraining;
+  upstream->update_endpoints(list);
   ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
   ASSERT_TRUE(until(io, [&] { return server.peers.empty() || server.peers[0]->over; }));
@@ -413,8 +413,8 @@
   make();
   send(1);
   list.complete = false;
-  list.members[0].address = other.address();
-  upstream->update(list);
+  list.endpoints[0].address = other.address();
+  upstream->update_endpoints(list);
   ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
   EXPECT_TRUE(server.requests.empty());
@@ -422,8 +422,8 @@
 
 TEST_F(UpstreamTest, AServerThatDrainsOrIsUnknownIsSentNothing) {
   make();
-  list.members[0].entry.state = ServerState::kRemoved;
-  upstream->update(list);
+  list.endpoints[0].entry.state = EndpointState::kRemoved;
+  upstream->update_endpoints(list);
   EXPECT_EQ(result(1).outcome, Outcome::kNotSent);
   upstream->send({2, 0}, "nobody", outgoing, clock.now() + 1'000'000);
   ASSERT_TRUE(until(io, [&] { return results.size() == 2; }));
@@ -435,12 +435,12 @@
   FakeServer moved(io);
   make();
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
-  list.members[0].entry.started_at = clock.now();
-  upstream->update(list);
+  list.endpoints[0].entry.started_at = clock.now();
+  upstream->update_endpoints(list);
   ASSERT_EQ(result(2).outcome, Outcome::kOk);
   EXPECT_EQ(server.peers.size(), 2u);
-  list.members[0].address = moved.address();
-  upstream->update(list);
+  list.endpoints[0].address = moved.address();
+  upstream->update_endpoints(list);
   ASSERT_EQ(result(3).outcome, Outcome::kOk);
   EXPECT_EQ(moved.requests.size(), 1u);
 }
@@ -450,17 +450,17 @@
   make();
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
   list.complete = false;
-  list.members[0].entry.state = ServerState::kRemoved;
-  upstream->update(list);
-  EXPECT_FALSE(upstream->knows("s"));
+  list.endpoints[0].entry.state = EndpointState::kRemoved;
+  upstream->update_endpoints(list);
+  EXPECT_FALSE(upstream->is_known("s"));
   EXPECT_TRUE(until(io, [&] { return server.peers[0]->over; }));
   list.complete = true;
-  list.members = {member("a", server), member("b", server)};
-  upstream->update(list);
-  list.members = {member("b", server)};
-  upstream->update(list);
-  EXPECT_FALSE(upstream->knows("a"));
-  EXPECT_TRUE(upstream->knows("b"));
+  list.endpoints = {member("a", server), member("b", server)};
+  upstream->update_endpoints(list);
+  list.endpoints = {member("b", server)};
+  upstream->update_endpoints(list);
+  EXPECT_FALSE(upstream->is_known("a"));
+  EXPECT_TRUE(upstream->is_known("b"));
 }
 
 TEST_F(UpstreamTest, TheNumberOfConnectionsIsBounded) {
@@ -472,4 +472,4 @@
 }
 
 }  // namespace
-}  // namespace cottonroad::net::testing
+}  // namespace quota_gateway::net::testing
