--- a/src/adapter/codec.hpp
+++ b/src/adapter/codec.hpp
@@ -1,43 +1,32 @@
-// Translates the JSON wire to the module's events and its actions back. No decisions here.
+// Translates the JSON wire and the settings to the decision engine's types, and its actions back. The names
+// of the wire stand here and nowhere else.
 #pragma once
 
 #include <cstdint>
 #include <map>
-#include <nlohmann/json.hpp>
 #include <optional>
-#include <string>
 #include <vector>
 
-#include "quota_gateway/decision_engine.hpp"
+#include "adapter/json_fields.hpp"
+#include "quota_gateway/actions.hpp"
+#include "quota_gateway/events.hpp"
+#include "quota_gateway/settings.hpp"
 
 namespace quota_gateway::wire {
 
-using Json = nlohmann::json;
+// Endpoint lists by the number under which the simulator sent them.
+using EndpointLists = std::map<std::int64_t, std::vector<EndpointEntry>>;
 
-// Thrown on a message of the wrong shape.
-class ProtocolError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-
-using Pools = std::map<std::int64_t, std::vector<EndpointEntry>>;
+// All functions throw ProtocolError or nlohmann::json::exception on a message of the wrong shape.
 
+// Unknown settings are ignored.
 Settings parse_settings(const Json& info);
-std::vector<EndpointEntry> parse_entries(const Json& entries);
-// No value: an event that means nothing to the module.
-std::optional<Event> parse_event(const Json& message, const Pools& pools);
-Json write_action(const Action& action);
 
-// All instances of one process, kept apart from each other.
-class SimulatorHost {
- public:
-  // Answers one line of input. No value: the line asks for no reply.
-  std::optional<std::string> answer(const std::string& line);
-
- private:
-  void take(const Json& message);
-  std::map<std::string, DecisionEngine> gateways_;
-  Pools pools_;
-};
+std::vector<EndpointEntry> parse_endpoint_entries(const Json& entries);
+
+// No value for an event that means nothing to the decision engine.
+std::optional<Event> parse_event(const Json& message, const EndpointLists& lists);
+
+Json write_action(const Action& action);
 
 }  // namespace quota_gateway::wire
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,9 +1,9 @@
-// The loop around the codec: one line in, one line out, until the input ends.
+// The simulator's program: reads one line of input, writes one line of output, until the input ends.
 #include <exception>
 #include <iostream>
 #include <string>
 
-#include "adapter/codec.hpp"
+#include "adapter/simulator_host.hpp"
 
 int main() {
   std::ios::sync_with_stdio(false);
@@ -11,10 +11,10 @@
   std::string line;
   try {
     while (std::getline(std::cin, line)) {
-      if (auto reply = host.answer(line)) std::cout << *reply << '\n' << std::flush;
+      if (const auto reply = host.process_line(line)) std::cout << *reply << '\n' << std::flush;
     }
-  } catch (const std::exception& e) {
-    std::cerr << "simulator_adapter: " << e.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "simulator_adapter: " << error.what() << '\n';
     return 1;
   }
   return 0;
--- a/tests/adapter/codec_test.cpp
+++ b/tests/adapter/codec_test.cpp
@@ -1,4 +1,4 @@
-#include "adapter/codec.hpp"
+#include "adapter/simulator_host.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,15 +7,15 @@
 
 TEST(Codec, EmptyBatchHasAnEmptyReply) {
   SimulatorHost host;
-  EXPECT_EQ(*host.answer(R"({"ClockUs":1,"parts":[]})"), R"({"parts":[]})");
+  EXPECT_EQ(*host.process_line(R"({"ClockUs":1,"parts":[]})"), R"({"parts":[]})");
 }
 
 TEST(Codec, WrongShapeThrows) {
   SimulatorHost host;
-  EXPECT_ANY_THROW(host.answer("[]"));
-  EXPECT_ANY_THROW(host.answer("{"));
-  EXPECT_ANY_THROW(host.answer(R"({"ClockUs":1,"parts":[{"Who":"gateway-0","input":[{"what":"Knock"}]}]})"));
-  EXPECT_ANY_THROW(host.answer(
+  EXPECT_ANY_THROW(host.process_line("[]"));
+  EXPECT_ANY_THROW(host.process_line("{"));
+  EXPECT_ANY_THROW(host.process_line(R"({"ClockUs":1,"parts":[{"Who":"gateway-0","input":[{"what":"Knock"}]}]})"));
+  EXPECT_ANY_THROW(host.process_line(
       R"({"ClockUs":1,"parts":[{"Who":"g","input":[{"what":"Response","Id":"t/a","Go":0,"Disposition":"?"}]}]})"));
 }
 
@@ -60,12 +60,12 @@
 
 TEST(SimulatorHost, AKilledInstanceForgetsAndListsAreResolvedInOrder) {
   SimulatorHost host;
-  EXPECT_FALSE(host.answer(R"({"what":"Pool","List":0,"Entries":[{"Server":"s1"}]})").has_value());
-  const std::string reply = *host.answer(R"({"ClockUs":1,"parts":[{"Who":"gateway-0","input":[
+  EXPECT_FALSE(host.process_line(R"({"what":"Pool","List":0,"Entries":[{"Server":"s1"}]})").has_value());
+  const std::string reply = *host.process_line(R"({"ClockUs":1,"parts":[{"Who":"gateway-0","input":[
     {"what":"Enlist","Entropy":5,"Info":{}},{"what":"DirectoryUpdate","Kind":"Persisted","SeqNo":1,"List":0},
     {"what":"Knock","Id":"t/a","GiveUpAtUs":2000000,"Member":"m"}]}]})");
   EXPECT_NE(reply.find(R"("Server":"s1")"), std::string::npos);
-  EXPECT_EQ(*host.answer(R"({"ClockUs":2,"parts":[{"Who":"gateway-0","input":[{"what":"Kill"}]}]})"),
+  EXPECT_EQ(*host.process_line(R"({"ClockUs":2,"parts":[{"Who":"gateway-0","input":[{"what":"Kill"}]}]})"),
             R"({"parts":[]})");
 }
 
--- a/tests/decision/golden_trace_test.cpp
+++ b/tests/decision/golden_trace_test.cpp
@@ -127,7 +127,7 @@
   }
   void plan_list(Micros at, const std::string& kind, const Json& entries) {
     const std::int64_t list = std::int64_t(pools_.size());
-    pools_[list] = wire::parse_entries(entries);
+    pools_[list] = wire::parse_endpoint_entries(entries);
     plan_json(at, current_, {{"what", "DirectoryUpdate"}, {"Kind", kind}, {"List", list}, {"SeqNo", list}});
   }
   void plan_lists() {
@@ -353,7 +353,7 @@
   UniformSource random_;
   std::vector<DecisionEngine> gateways_;
   std::size_t current_ = 0;  // the gateway that takes new requests
-  wire::Pools pools_;
+  wire::EndpointLists pools_;
   std::priority_queue<Planned> agenda_;
   std::uint64_t order_ = 0;
   std::map<std::string, std::size_t> owner_;
