--- /dev/null
+++ b/tests/decision/retry_policy_test.cpp
@@ -0,0 +1,101 @@
+// Retries by idempotency, and slow attempts.
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "support/engine_harness.hpp"
+
+namespace quota_gateway::testing {
+namespace {
+
+Settings settings_with_idempotency(Idempotency repeat) {
+  Settings settings = basic_settings();
+  settings.classes[0].idempotency = repeat;
+  settings.classes[0].dedup_scope = DedupScope::kCell;
+  settings.classes[0].dedup_window = 8 * kSecond;
+  settings.classes[0].late_weight = 0.2;
+  return settings;
+}
+
+TEST(RetryPolicy, AKeyedRequestThatMayHaveExecutedIsRetriedOnlyInItsCell) {
+  auto servers = up({"a", "b", "c", "d"});
+  for (int i = 0; i < 4; ++i) servers[std::size_t(i)].cell = i / 2;
+  EngineHarness engine(settings_with_idempotency(Idempotency::kByKey), servers);
+  auto first = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
+  ASSERT_EQ(first.size(), 1u);
+  auto out = engine.end(50 * kMillisecond, first[0], Outcome::kReset);
+  auto second = actions_of<SendAttempt>(out);
+  ASSERT_EQ(second.size(), 1u);
+  auto cell = [](const std::string& n) { return n == "a" || n == "b"; };
+  EXPECT_EQ(cell(first[0].endpoint), cell(second[0].endpoint));
+}
+
+TEST(RetryPolicy, AKeyedRequestThatMayHaveExecutedIsFailedAndNotRejected) {
+  Settings settings = settings_with_idempotency(Idempotency::kByKey);
+  settings.max_attempts = 1;
+  EngineHarness engine(settings);
+  auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
+  auto out = engine.end(50 * kMillisecond, sent.at(0), Outcome::kReset);
+  EXPECT_EQ(actions_of<FailRequest>(out).size(), 1u);
+  EXPECT_TRUE(actions_of<RejectRequest>(out).empty());
+}
+
+TEST(RetryPolicy, AKeyedRetryFromADelayedSenderStillArrivesWithinTheDedupWindow) {
+  // A gateway may be held up for 150 ms between reading its clock and writing, after a connection that came
+  // up as late as allowed.
+  Settings settings = basic_settings();
+  settings.classes[0].idempotency = Idempotency::kByKey;
+  settings.classes[0].dedup_scope = DedupScope::kAll;
+  settings.classes[0].dedup_window = kSecond;
+  settings.classes[0].latency_objective = settings.classes[0].client_timeout = 2 * kSecond;
+  settings.connect_timeout = 250 * kMillisecond;
+  for (const TimePoint at : {550 * kMillisecond, 650 * kMillisecond}) {
+    EngineHarness engine(settings);
+    const auto first = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
+    const auto again = actions_of<SendAttempt>(engine.end(kMillisecond + at, first.at(0), Outcome::kReset));
+    EXPECT_EQ(again.size(),
+              at + settings.connect_timeout + 150 * kMillisecond < settings.classes[0].dedup_window ? 1u : 0u)
+        << at;
+  }
+}
+
+TEST(RetryPolicy, ANonIdempotentRequestIsRetriedOnlyWhenItNeverExecuted) {
+  for (Outcome o : {Outcome::kTimeout, Outcome::kReset, Outcome::kError, Outcome::kCancelled}) {
+    EngineHarness engine(settings_with_idempotency(Idempotency::kNonIdempotent));
+    auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
+    auto out = engine.end(50 * kMillisecond, sent.at(0), o);
+    EXPECT_TRUE(actions_of<SendAttempt>(out).empty());
+    EXPECT_EQ(actions_of<FailRequest>(out).size(), 1u);
+  }
+  EngineHarness engine(settings_with_idempotency(Idempotency::kNonIdempotent));
+  auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
+  EXPECT_EQ(
+      actions_of<SendAttempt>(engine.end(50 * kMillisecond, sent.at(0), Outcome::kConnectFailed)).size(), 1u);
+}
+
+TEST(RetryPolicy, AStalledAttemptIsCancelledAndRetriedElsewhereWithinTheLatencyObjective) {
+  Settings settings = basic_settings();
+  settings.plans[0].rate = settings.plans[0].burst = 1000;
+  EngineHarness engine(settings);
+  for (int i = 0; i < 30; ++i)
+    engine.end(0, actions_of<SendAttempt>(engine.arrive(0, numbered("usual", i))).at(0), Outcome::kOk, 0,
+               20 * kMillisecond);
+  auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
+  auto out = engine.run(450 * kMillisecond);
+  ASSERT_EQ(actions_of<CancelAttempt>(out).size(), 1u);
+  auto again = actions_of<SendAttempt>(engine.end(451 * kMillisecond, sent.at(0), Outcome::kCancelled));
+  ASSERT_EQ(again.size(), 1u);
+  EXPECT_NE(again[0].endpoint, sent[0].endpoint);
+}
+
+TEST(RetryPolicy, OneFastResponseDoesNotMakeTheNextAttemptsLookStalled) {
+  EngineHarness engine;
+  auto quick = actions_of<SendAttempt>(engine.arrive(0, "quick"));
+  engine.end(0, quick.at(0), Outcome::kOk, 0, 5 * kMillisecond);
+  ASSERT_EQ(actions_of<SendAttempt>(engine.arrive(kMillisecond, "r")).size(), 1u);
+  // Its work may well be the fivefold of a sixth of the aim.
+  EXPECT_TRUE(actions_of<CancelAttempt>(engine.run(400 * kMillisecond)).empty());
+}
+
+}  // namespace
+}  // namespace quota_gateway::testing
