--- a/tests/decision/concurrency_cap_test.cpp
+++ b/tests/decision/concurrency_cap_test.cpp
@@ -14,17 +14,17 @@
   settings.gateway_count = 11;
   settings.plans[0].rate = settings.plans[0].burst = 0;
   settings.plans[0].max_concurrent_attempts = 2;
-  int out = 0;
+  int attempts = 0;
   for (int g = 0; g < 11; ++g) {
     settings.gateway_index = g;
     EngineHarness engine(settings);
-    for (int i = 0; i < 400; ++i) {  // heavy demand everywhere
+    for (int i = 0; i < 400; ++i) {  // heavy demand at each gateway
       RequestArrived request = EngineHarness::request(numbered("x", i), i * kMillisecond);
       request.gateway_set_size = 11;
-      out += int(actions_of<SendAttempt>(engine.step(i * kMillisecond, {request})).size());
+      attempts += int(actions_of<SendAttempt>(engine.step(i * kMillisecond, {request})).size());
     }
   }
-  EXPECT_LE(out, 11 * 2);  // never more than the cap here
+  EXPECT_LE(attempts, 11 * 2);  // never more than the cap here
 }
 
 TEST(ConcurrencyCap, GatewaysTogetherStayUnderTheCap) {
@@ -33,17 +33,17 @@
     settings.gateway_count = gateways;
     settings.plans[0].rate = settings.plans[0].burst = 1000;
     settings.plans[0].max_concurrent_attempts = cap;
-    int out = 0;
+    int attempts = 0;
     for (settings.gateway_index = 0; settings.gateway_index < gateways; ++settings.gateway_index) {
       EngineHarness engine(settings);
       for (int i = 0; i < 20; ++i) {
         RequestArrived request = EngineHarness::request(numbered("x", i), kMillisecond);
         request.gateway_set_size = gateways;
-        out += int(actions_of<SendAttempt>(engine.step(kMillisecond, {request})).size());
+        attempts += int(actions_of<SendAttempt>(engine.step(kMillisecond, {request})).size());
       }
     }
-    EXPECT_LE(out, std::max(cap, gateways)) << cap << " over " << gateways;  // none is shut out, though
-    EXPECT_GE(out, cap) << cap << " over " << gateways;
+    EXPECT_LE(attempts, std::max(cap, gateways)) << cap << " over " << gateways;  // but no gateway is starved
+    EXPECT_GE(attempts, cap) << cap << " over " << gateways;
   }
 }
 
@@ -55,7 +55,8 @@
   ASSERT_EQ(actions_of<SendAttempt>(engine.arrive(kMillisecond, "one")).size(), 1u);
   const auto rejections = actions_of<RejectRequest>(engine.arrive(2 * kMillisecond, "two"));
   ASSERT_EQ(rejections.size(), 1u);
-  EXPECT_GE(rejections[0].retry_after, 80 * kMillisecond);  // a sixth of the aim, before there are answers
+  EXPECT_GE(rejections[0].retry_after,
+            80 * kMillisecond);  // a sixth of the latency objective, before there are responses
   EXPECT_LE(rejections[0].retry_after, 165 * kMillisecond);
 }
 
--- a/tests/decision/concurrency_limit_test.cpp
+++ b/tests/decision/concurrency_limit_test.cpp
@@ -16,16 +16,16 @@
   std::size_t sent = 0;
   for (int i = 0; i < 200; ++i)
     sent += actions_of<SendAttempt>(engine.arrive(kMillisecond, numbered("r", i))).size();
-  EXPECT_LE(sent, 8u);  // five a server over two gateways
+  EXPECT_LE(sent, 8u);  // five per endpoint over two gateways
   auto out = engine.run(2 * kSecond);
   EXPECT_EQ(actions_of<RejectRequest>(out).size() + sent + actions_of<CancelAttempt>(out).size(),
             200u + actions_of<CancelAttempt>(out).size());
 }
 
-// Far more demand than one gateway's servers take, for `steps` of 10 ms. Each attempt is answered after the
-// time that `answer` gives for its number. The most attempts that were out at once in the last tenth.
-template <typename Answer>
-int peak_attempts_in_flight(EngineHarness& engine, int steps, Answer answer) {
+// Plays far more demand than the endpoints of one gateway can serve, for `steps` of 10 ms. `latency` gives
+// the duration of each attempt by its number. Returns the peak of attempts in flight during the last tenth.
+template <typename Latency>
+int peak_attempts_in_flight(EngineHarness& engine, int steps, Latency latency) {
   struct Out {
     SendAttempt attempt;
     TimePoint sent, until;
@@ -34,10 +34,10 @@
   int number = 0, most = 0;
   auto take = [&](TimePoint now, const std::vector<Action>& actions) {
     for (const SendAttempt& attempt : actions_of<SendAttempt>(actions))
-      out.push_back({attempt, now, now + answer(number++)});
+      out.push_back({attempt, now, now + latency(number++)});
   };
   for (int i = 1; i <= steps; ++i) {
-    const TimePoint now = kSecond + i * 10 * kMillisecond;  // the servers have stood idle before
+    const TimePoint now = kSecond + i * 10 * kMillisecond;  // the endpoints were idle before
     take(now, engine.run(now));
     std::vector<Out> due;
     for (const Out& o : out)
@@ -55,7 +55,7 @@
   settings.gateway_count = 1;
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
   EngineHarness late(settings), idle(settings);
-  // At most 120 answers in six seconds, after 0.8 of the aim, and after a tenth of it.
+  // At most 120 responses in six seconds, after 0.8 of the latency objective, and after a tenth of it.
   const int most = peak_attempts_in_flight(late, 600, [](int) { return 400 * kMillisecond; });
   EXPECT_LE(most, 12);
   EXPECT_GT(peak_attempts_in_flight(idle, 150, [](int) { return 50 * kMillisecond; }), most);
@@ -66,7 +66,7 @@
   settings.gateway_count = 1;
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
   EngineHarness engine(settings);
-  // The quick requests of the first moment are answered first; the usual one takes twice as long.
+  // The fast requests of the first moment complete first; the usual one takes twice as long.
   EXPECT_GT(peak_attempts_in_flight(engine, 600, [](int n) { return (n < 40 ? 20 : 40) * kMillisecond; }),
             18);
 }
@@ -76,7 +76,7 @@
   settings.gateway_count = 2;
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
   EngineHarness engine(settings, up({"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}));
-  // Small requests take as long as large ones: answers over what units let expect come to more than one.
+  // Small requests take as long as large ones, so latencies over the expected ones are above one on average.
   TimePoint now = kSecond;
   for (int i = 0; i < 400; ++i, now += 50 * kMillisecond) {
     engine.run(now);
@@ -87,7 +87,7 @@
   std::size_t sent = 0;
   for (int i = 0; i < 40; ++i)
     sent += actions_of<SendAttempt>(engine.arrive(now, numbered("f", i), 2)).size();
-  EXPECT_GT(sent, 15u);  // ten on average, and what chance may add; not one a server
+  EXPECT_GT(sent, 15u);  // ten on average and some more by chance, not one per endpoint
 }
 
 TEST(ConcurrencyLimit, AnOverloadedResponseIsRetriedElsewhereAndDoesNotCutTheLimit) {
@@ -100,7 +100,7 @@
     for (int n = 0; n < 3; ++n) {
       auto sent = actions_of<SendAttempt>(out);
       if (sent.empty()) break;
-      const bool full = sent[0].endpoint != "c";  // a and b turn the plan away
+      const bool full = sent[0].endpoint != "c";  // a and b are overloaded for this plan
       served += !full;
       out = engine.end(i * 50 * kMillisecond + 1 + n, sent[0], full ? Outcome::kOverloaded : Outcome::kOk, n);
     }
@@ -117,7 +117,7 @@
   for (int k = 0; k < 200; ++k, now += 20 * kMillisecond) {
     auto out = actions_of<SendAttempt>(engine.arrive(now, numbered("r", k)));
     sent += out.size();
-    // Every second answer is found a second late, and says that it took 10 ms.
+    // Every second response is processed a second late, and reports a duration of 10 ms.
     for (const SendAttempt& attempt : out) {
       if (k % 2) now += kSecond;
       engine.end(now, attempt, Outcome::kOk, 0, 10 * kMillisecond);
--- a/tests/decision/counter_pacer_test.cpp
+++ b/tests/decision/counter_pacer_test.cpp
@@ -29,13 +29,13 @@
       engine.step(i * 5 * kMillisecond, {reply});
     }
   }
-  EXPECT_GT(late, 5u);  // it is asked on, to notice its return
+  EXPECT_GT(late, 5u);  // calls go on, to notice its recovery
   EXPECT_LT(late, 25u);
   EXPECT_GT(early, late);
 }
 
-// A hundred gateways that want twice the calls that their counter can serve. It serves them in turn, works on
-// those that nobody waits for any more, and turns away what would wait three time-outs.
+// A hundred gateways want twice as many calls as their counter can serve. It serves them in order, including
+// those that have timed out, and rejects calls that would wait for three timeouts.
 TEST(CounterPacer, AFleetOfGatewaysKeepsTheQueueOfTheCounterShort) {
   const Settings settings = settings_with_counter();
   constexpr int kGateways = 100, kAsks = 16, kSeconds = 20;
--- a/tests/decision/counter_sync_test.cpp
+++ b/tests/decision/counter_sync_test.cpp
@@ -23,7 +23,7 @@
   EXPECT_GE(calls[0].amount, 1);
   EXPECT_LE(calls[0].ttl, 60 * kSecond);
   EXPECT_TRUE(actions_of<SendAttempt>(out).empty());
-  EXPECT_EQ(actions_of<SendAttempt>(engine.run(160 * kMillisecond)).size(), 1u);  // nobody answered
+  EXPECT_EQ(actions_of<SendAttempt>(engine.run(160 * kMillisecond)).size(), 1u);  // no reply came
 }
 
 TEST(CounterSync, ARequestWaitsForAFreshTotalWhenTheLastOneIsStale) {
@@ -32,17 +32,18 @@
   const auto call = actions_of<IncrementCounter>(engine.arrive(kSecond, "first")).at(0);
   EXPECT_EQ(actions_of<SendAttempt>(engine.step(kSecond + kMillisecond, {counter.increment(call)})).size(),
             1u);
-  EXPECT_EQ(actions_of<SendAttempt>(engine.arrive(2 * kSecond, "soon")).size(), 1u);  // its total still tells
+  EXPECT_EQ(actions_of<SendAttempt>(engine.arrive(2 * kSecond, "soon")).size(),
+            1u);  // its total is still fresh
   engine.run(29 * kSecond);
   EXPECT_TRUE(actions_of<SendAttempt>(engine.arrive(30 * kSecond, "late")).empty());
   EXPECT_EQ(actions_of<SendAttempt>(engine.run(30 * kSecond + 60 * kMillisecond)).size(),
-            1u);  // nobody answered
+            1u);  // no reply came
 }
 
 TEST(CounterSync, ARequestNearItsDeadlineDoesNotWaitForATotal) {
   EngineHarness engine(settings_with_counter());
   RequestArrived request = EngineHarness::request("r", kSecond);
-  request.deadline = kSecond;  // its gateway stood still meanwhile
+  request.deadline = kSecond;  // its gateway was suspended meanwhile
   auto out = engine.step(kSecond, {request});
   EXPECT_EQ(actions_of<RejectRequest>(out).size(), 1u);
   EXPECT_TRUE(actions_of<SendAttempt>(out).empty());
@@ -61,12 +62,13 @@
   EXPECT_EQ(ask(21 * kSecond / 2, "known"), 1u);
   engine.run(12 * kSecond - 1);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(ask(12 * kSecond + i, numbered("new", i)), 1u) << i;
-  EXPECT_EQ(ask(12 * kSecond + 3, "known"), 0u);  // its total is fresh enough, and one call is left
+  EXPECT_EQ(ask(12 * kSecond + 3, "known"),
+            0u);  // its total is fresh enough, and one call is left in the budget
   EXPECT_EQ(ask(12 * kSecond + 4, "new3"), 1u);
   EXPECT_EQ(ask(12 * kSecond + 5, "new4"), 0u);
 }
 
-// Each of twenty gateways hands its demand to the counter once a period, so that part of it is in no total
+// Each of twenty gateways reports its demand to the counter once a period, so that part of it is in no total
 // yet.
 TEST(CounterSync, UnreportedDemandOfOtherGatewaysIsAllowedFor) {
   Settings settings = settings_with_counter();
@@ -75,7 +77,7 @@
   for (int g = 0; g < settings.gateway_count; ++g) fleet.emplace_back(settings, up({"a", "b", "c"}), g + 1);
   SharedCounter counter;
   int sent = 0;
-  constexpr int kAsked = 80, kFrom = 10, kSeconds = 60;  // a second, of a quota of ten; judged from then on
+  constexpr int kAsked = 80, kFrom = 10, kSeconds = 60;  // requests a second for a quota of ten
   for (int i = 0; i < kAsked * kSeconds; ++i) {
     const TimePoint now = 1000 * kSecond + Duration(i) * kSecond / kAsked;
     EngineHarness& engine = fleet[std::size_t(i * 7 % settings.gateway_count)];
@@ -113,12 +115,14 @@
 }
 
 TEST(CounterSync, ATotalBelowOurOwnAdditionsIsIgnored) {
-  // A total of less than was added here proves loss; believed, it would give everything to us.
+  // A total below our own additions proves that the counter lost some; if used, it would give us the whole
+  // quota.
   EXPECT_NEAR(run_admission({.other_rate = 36, .counter_forgets = true}).share, 10.0 / 48, 0.08);
 }
 
 TEST(CounterSync, ACustomerWithinItsQuotaIsAdmittedAfterAWallClockStep) {
-  // Amounts on a counter's name grow with the wall clock; stepped back, they would look many times as large.
+  // Amounts of a counter name grow with the wall clock; after a step back they would look many times as
+  // large.
   for (const Duration step : {-3600 * kSecond, -5 * kSecond, 5 * kSecond, 3600 * kSecond}) {
     Settings settings = settings_with_counter();
     EngineHarness engine(settings);
--- a/tests/decision/decision_engine_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -67,15 +67,14 @@
 
 TEST(DecisionEngine, ARequestWithImpossibleUnitsDoesNotDistortOtherEstimates) {
   Settings settings = basic_settings();
-  settings.allow_cancel = false;  // so that an attempt that takes long is only looked at
+  settings.allow_cancel = false;  // so that a slow attempt is only checked
   settings.max_request_units = 4;
   EngineHarness engine(settings);
   engine.arrive(0, "large", 100);
   RequestArrived usual = EngineHarness::request("usual", kMillisecond);
   usual.customer = "c2";
   ASSERT_EQ(actions_of<SendAttempt>(engine.step(kMillisecond, {usual})).size(), 1u);
-  // Left without an answer, it is looked at a few times until its client gives up, beside the looks each
-  // second.
+  // Without a response it is checked a few times until its deadline, beside the timer of each period.
   EXPECT_LT(actions_of<SetTimer>(engine.run(500 * kMillisecond)).size(), 20u);
 }
 
@@ -89,7 +88,7 @@
   EngineHarness engine(settings, up(names));
   SharedCounter counter;
   std::set<std::string> used;
-  std::set<std::int64_t> counted;
+  std::set<std::int64_t> counter_names;
   TimePoint now = kSecond;
   for (int i = 0; i < 2 * kThousand; ++i, now += kSecond) {
     RequestArrived request = EngineHarness::request(numbered("r", i), now);
@@ -99,22 +98,22 @@
     auto todo = engine.step(now, {request});
     ASSERT_EQ(actions_of<IncrementCounter>(todo).size(), 1u) << i;
     const auto call = actions_of<IncrementCounter>(todo)[0];
-    counted.insert(call.name);
+    counter_names.insert(call.name);
     const auto sent = actions_of<SendAttempt>(engine.step(now, {counter.increment(call)}));
     ASSERT_EQ(sent.size(), 1u) << i;
     used.insert(sent[0].endpoint);
     engine.end(now, sent[0], Outcome::kOk);
     engine.run(now + kSecond / 2);
   }
-  EXPECT_EQ(counted.size(), 2u * kThousand);
-  EXPECT_GT(used.size(), 500u);  // a fresh draw each time would reach some 880
+  EXPECT_EQ(counter_names.size(), 2u * kThousand);
+  EXPECT_GT(used.size(), 500u);  // independent draws would reach some 880
   EXPECT_EQ(engine.engine().count_endpoints(now).listed, std::size_t(kThousand));
   EndpointListUpdate none;
   engine.step(now, {none});
   EXPECT_EQ(engine.engine().count_endpoints(now).listed, 0u);
 }
 
-// Seconds of processor time that a thousand requests take among so many servers.
+// Seconds of processor time that a thousand requests take among so many endpoints.
 double cpu_seconds_of_a_thousand_requests(int servers) {
   Settings settings = basic_settings();
   settings.gateway_count = 300;
--- a/tests/decision/endpoint_picker_test.cpp
+++ b/tests/decision/endpoint_picker_test.cpp
@@ -18,8 +18,8 @@
   std::map<std::string, int> picked;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     EngineHarness engine(settings, up({"a", "b", "c", "d"}), seed);
-    std::set<std::string> told;
-    for (int i = 0; i < 100 && told.size() < 4; ++i) {
+    std::set<std::string> reported;
+    for (int i = 0; i < 100 && reported.size() < 4; ++i) {
       auto sent = actions_of<SendAttempt>(engine.arrive(kSecond + i * kMillisecond, numbered("r", i)));
       if (sent.empty()) continue;
       AttemptEnded ended;
@@ -27,8 +27,8 @@
       ended.endpoint = sent[0].endpoint;
       ended.duration = kMillisecond;
       ended.request_finished = true;
-      ended.load.in_flight = ended.endpoint == "a" ? 1 : 4;  // a looks idle to everybody
-      told.insert(ended.endpoint);
+      ended.load.in_flight = ended.endpoint == "a" ? 1 : 4;  // a looks idle to every gateway
+      reported.insert(ended.endpoint);
       engine.step(kSecond + i * kMillisecond, {ended});
     }
     for (const SendAttempt& attempt : actions_of<SendAttempt>(engine.arrive(1200 * kMillisecond, "last")))
@@ -52,11 +52,11 @@
       engine.end(now + 20 * kMillisecond, attempt, Outcome::kOk, 0, 20 * kMillisecond);
     }
   }
-  EXPECT_LE(used.size(), 16u);  // of 24; a fresh draw each time reaches them all
+  EXPECT_LE(used.size(), 16u);  // of 24; independent draws would reach them all
 }
 
-// One of 300 gateways sends eight attempts a second to 160 servers. In a draw of a few of them there is
-// seldom one of those that it was connected to within five seconds.
+// One of 300 gateways sends eight attempts a second to 160 endpoints. A few sampled candidates seldom include
+// one to which it has had a connection within five seconds.
 TEST(EndpointPicker, OneOfManyGatewaysReusesConnectionsAlsoAmongManyEndpoints) {
   Settings settings = basic_settings();
   settings.gateway_count = 300;
@@ -76,7 +76,7 @@
     }
   }
   EXPECT_GT(connected, attempts * 3 / 4);
-  EXPECT_GT(used.size(), 12u);  // and they are not all the same few
+  EXPECT_GT(used.size(), 12u);  // and not always the same few
 }
 
 }  // namespace
--- a/tests/decision/endpoint_pool_test.cpp
+++ b/tests/decision/endpoint_pool_test.cpp
@@ -33,8 +33,9 @@
   engine.step(2 * kMillisecond, {again, AdminStateChanged{"a", true}});
   EXPECT_EQ(engine.burst(3 * kMillisecond, 5), 0);
   engine.step(10 * kSecond, {AdminStateChanged{"a", false}});
-  EXPECT_EQ(engine.burst(10 * kSecond + kMillisecond, 5), 1);  // a cold one, not yet told of as restarted
-  engine.step(40 * kSecond, {AdminStateChanged{"a", false}});  // a second call back changes nothing
+  EXPECT_EQ(engine.burst(10 * kSecond + kMillisecond, 5),
+            1);  // in slow start, though its restart is not announced yet
+  engine.step(40 * kSecond, {AdminStateChanged{"a", false}});  // enabling it twice changes nothing
   EXPECT_EQ(engine.burst(40 * kSecond + kMillisecond, 5), 5);
 }
 
--- a/tests/decision/golden_trace_test.cpp
+++ b/tests/decision/golden_trace_test.cpp
@@ -22,9 +22,9 @@
 
 using wire::Json;
 
-constexpr Micros kMillisecond = 1'000;
-constexpr Micros kOneSecond = 1'000'000;
-constexpr Micros kBatchInterval = 500;  // us; events are rounded up to it, so that batches hold several
+constexpr Duration kMillisecond = 1'000;
+constexpr Duration kOneSecond = 1'000'000;
+constexpr Duration kBatchInterval = 500;  // us; events are rounded up to it, so that batches hold several
 
 // Everything that differs between the recorded runs.
 struct Scenario {
@@ -34,7 +34,7 @@
   int requests = 0;
   int customers = 1;
   int endpoints = 1;
-  Micros mean_interval = 0;       // us between requests
+  Duration mean_interval = 0;     // us between requests
   double others_demand = 0;       // units that the other gateways add to a counter, over ours
   int cells = 2;                  // into which the endpoints are split
   bool blackout = false;          // no endpoint can be reached for a while
@@ -46,7 +46,7 @@
  public:
   explicit UniformSource(std::uint64_t seed) : engine_(seed) {}
   double real() { return double(engine_() >> 11) * 0x1p-53; }
-  Micros between(Micros low, Micros high) { return low + Micros(real() * double(high - low)); }
+  Duration between(Duration low, Duration high) { return low + Duration(real() * double(high - low)); }
   bool chance(double probability) { return real() < probability; }
 
  private:
@@ -65,7 +65,7 @@
 
   std::string run() {
     while (!agenda_.empty()) {
-      const Micros now = agenda_.top().at;
+      const TimePoint now = agenda_.top().at;
       std::vector<std::vector<Event>> batches(gateways_.size());
       while (!agenda_.empty() && agenda_.top().at == now) {
         const Planned planned = agenda_.top();
@@ -87,11 +87,11 @@
 
  private:
   struct Planned {
-    Micros at = 0;
+    TimePoint at = 0;
     std::uint64_t order = 0;
     std::size_t gateway = 0;
     Event event;
-    std::function<void(Micros)> operation;  // in place of an event
+    std::function<void(TimePoint)> operation;  // in place of an event
     bool operator<(const Planned& other) const {
       return at != other.at ? at > other.at : order > other.order;
     }
@@ -101,22 +101,22 @@
     bool ended = false;
   };
 
-  static Micros round_up(Micros at) { return (at / kBatchInterval + 1) * kBatchInterval; }
-  void plan(Micros at, std::size_t gateway, Event event) {
+  static TimePoint round_up(TimePoint at) { return (at / kBatchInterval + 1) * kBatchInterval; }
+  void plan(TimePoint at, std::size_t gateway, Event event) {
     agenda_.push({round_up(at), ++order_, gateway, std::move(event), nullptr});
   }
-  void plan_json(Micros at, std::size_t gateway, const Json& message) {
+  void plan_json(TimePoint at, std::size_t gateway, const Json& message) {
     const auto event = wire::parse_event(message, pools_);
     ASSERT_TRUE(event.has_value());
     plan(at, gateway, *event);
   }
-  void plan_operation(Micros at, std::function<void(Micros)> operation) {
+  void plan_operation(TimePoint at, std::function<void(TimePoint)> operation) {
     agenda_.push({round_up(at), ++order_, 0, Event{}, std::move(operation)});
   }
 
-  Micros end_of_requests() const { return scenario_.requests * scenario_.mean_interval; }
+  Duration end_of_requests() const { return scenario_.requests * scenario_.mean_interval; }
 
-  Json entry(int index, const std::string& mode = "up", Micros started_at = 0) const {
+  Json entry(int index, const std::string& mode = "up", Duration started_at = 0) const {
     return {{"Server", "e-" + std::to_string(index)},
             {"RackZone", index % 3 == 0 ? "b" : "a"},
             {"GenerationHw", "m1"},
@@ -125,7 +125,7 @@
             {"Heft", index % 4 == 1 ? 2.0 : 1.0},
             {"ReadyAtUs", started_at}};
   }
-  void plan_list(Micros at, const std::string& kind, const Json& entries) {
+  void plan_list(TimePoint at, const std::string& kind, const Json& entries) {
     const std::int64_t list = std::int64_t(pools_.size());
     pools_[list] = wire::parse_endpoint_entries(entries);
     plan_json(at, current_, {{"what", "DirectoryUpdate"}, {"Kind", kind}, {"List", list}, {"SeqNo", list}});
@@ -133,7 +133,7 @@
   void plan_lists() {
     Json all = Json::array();
     for (int i = 0; i < scenario_.endpoints; ++i) all.push_back(entry(i));
-    const Micros end = end_of_requests();
+    const TimePoint end = end_of_requests();
     plan_list(1, "Persisted", all);
     plan_list(20 * kMillisecond, "Complete", all);
     plan_list(end / 8, "Partial",
@@ -148,15 +148,15 @@
   }
 
   void plan_requests() {
-    Micros at = 50 * kMillisecond;
+    TimePoint at = 50 * kMillisecond;
     for (int i = 0; i < scenario_.requests; ++i) {
       // Overload in the third quarter: requests come four times as fast.
       const bool overload = i > scenario_.requests / 2 && i < scenario_.requests * 3 / 4;
       at += random_.between(1, 2 * scenario_.mean_interval / (overload ? 4 : 1));
-      plan_operation(at, [this, i](Micros now) { request(now, i); });
+      plan_operation(at, [this, i](TimePoint now) { request(now, i); });
     }
   }
-  void request(Micros now, int index) {
+  void request(TimePoint now, int index) {
     const Json& classes = scenario_.settings.at("Classes");
     const Json& plans = scenario_.settings.at("TiersOfService");
     const double skewed = random_.real() * random_.real();  // some customers ask much more than others
@@ -164,7 +164,7 @@
     const int customer = first + int(skewed * scenario_.customers);
     const Json& request_class = classes[std::size_t(random_.real() * double(classes.size()))];
     const std::string id = "r-" + std::to_string(index);
-    const Micros deadline = now + Micros(request_class.at("GiveUpUs"));
+    const TimePoint deadline = now + Duration(request_class.at("GiveUpUs"));
     const Json message = {
         {"what", "Knock"},
         {"Id", id},
@@ -183,8 +183,8 @@
       arrived.body_pending = true;
       arrived.deadline = now + 60 * kOneSecond;
       plan(now, current_, event);
-      const Micros complete = now + random_.between(kMillisecond, 300 * kMillisecond);
-      plan(complete, current_, RequestBodyCompleted{id, complete + Micros(request_class.at("GiveUpUs"))});
+      const TimePoint complete = now + random_.between(kMillisecond, 300 * kMillisecond);
+      plan(complete, current_, RequestBodyCompleted{id, complete + Duration(request_class.at("GiveUpUs"))});
     } else {
       plan_json(now, current_, message);
     }
@@ -194,24 +194,24 @@
   }
 
   void plan_operations() {
-    const Micros end = end_of_requests();
+    const TimePoint end = end_of_requests();
     plan(end * 3 / 10, 0, AdminStateChanged{"e-3", true});
     plan(end * 4 / 10, 0, AdminStateChanged{"e-3", false});
     plan(end * 45 / 100, 0, WallClockStepped{3 * kOneSecond});
     // A successor that dies before it has served, and then one that takes over.
     plan_operation(end * 55 / 100,
-                   [this](Micros now) { record_state(now, gateways_[0].begin_hot_restart(now)); });
+                   [this](TimePoint now) { record_state(now, gateways_[0].begin_hot_restart(now)); });
     plan(end * 56 / 100, 0, HotRestartAborted{});
-    plan_operation(end * 7 / 10, [this](Micros now) { hand_over(now); });
+    plan_operation(end * 7 / 10, [this](TimePoint now) { replace_gateway(now); });
   }
-  void record_state(Micros now, const HotRestartState& state) {
+  void record_state(TimePoint now, const HotRestartState& state) {
     const auto counts = gateways_[0].count_endpoints(now);
     trace_ << "endpoints " << counts.listed << ' ' << counts.excluded << '\n';
     trace_
         << Json{{"customers", state.customers}, {"servers", state.endpoints}, {"fleet", state.fleet}}.dump()
         << '\n';
   }
-  void hand_over(Micros now) {
+  void replace_gateway(TimePoint now) {
     const HotRestartState state = gateways_[0].begin_hot_restart(now);
     record_state(now, state);
     gateways_.emplace_back(wire::parse_settings(scenario_.settings), scenario_.seed + 1);
@@ -223,14 +223,14 @@
     plan(now, 1, StateRestored{state});
     plan_predecessor_attempts(now);
   }
-  void plan_predecessor_attempts(Micros now) {
+  void plan_predecessor_attempts(TimePoint now) {
     const auto open = gateways_[0].attempts_in_flight();
     plan(now, 1, PredecessorAttempts{open});
     if (open.empty()) return;
-    plan_operation(now + 50 * kMillisecond, [this](Micros later) { plan_predecessor_attempts(later); });
+    plan_operation(now + 50 * kMillisecond, [this](TimePoint later) { plan_predecessor_attempts(later); });
   }
 
-  void handle(Micros now, std::size_t gateway, const std::vector<Event>& events) {
+  void handle(TimePoint now, std::size_t gateway, const std::vector<Event>& events) {
     std::vector<Action> actions;
     gateways_[gateway].handle(now, events, actions);
     Json written = Json::array();
@@ -243,13 +243,13 @@
   }
 
   // How one attempt at an endpoint ends, and after how long.
-  Json ending(Micros now, const std::string& id, const std::string& endpoint, Micros timeout,
-              Micros& duration) {
+  Json ending(TimePoint now, const std::string& id, const std::string& endpoint, Duration timeout,
+              Duration& duration) {
     const double progress = double(now) / double(end_of_requests());
     const int index = std::stoi(endpoint.substr(2));
     const double slowness = index % 5 == 2 && progress > 0.3 && progress < 0.5 ? 12 : 1;
     const double load = 1 + double(open_at_[endpoint]) / 4;
-    duration = Micros(double(random_.between(4 * kMillisecond, 40 * kMillisecond)) * slowness * load);
+    duration = Duration(double(random_.between(4 * kMillisecond, 40 * kMillisecond)) * slowness * load);
     std::string outcome = "GOOD";
     if (index % 5 == 4 && progress > 0.2 && progress < 0.6 && random_.chance(0.8)) outcome = "BAD";
     if (index % 7 == 3 && random_.chance(0.1)) outcome = "FULL";
@@ -277,28 +277,28 @@
             {"Feedback", feedback}};
   }
 
-  void act(Micros now, std::size_t gateway, const SendAttempt& a) {
-    auto& attempts = attempts_[a.id];
+  void act(TimePoint now, std::size_t gateway, const SendAttempt& action) {
+    auto& attempts = attempts_[action.id];
     const int attempt = int(attempts.size());
-    attempts.push_back({a.endpoint, false});
-    ++open_at_[a.endpoint];
-    Micros duration = 0;
-    Json response = ending(now, a.id, a.endpoint, a.timeout, duration);
+    attempts.push_back({action.endpoint, false});
+    ++open_at_[action.endpoint];
+    Duration duration = 0;
+    Json response = ending(now, action.id, action.endpoint, action.timeout, duration);
     response["Go"] = attempt;
     if (response.at("Disposition") == "GOOD" && random_.chance(0.1)) {
       ResponseStarted started;
-      started.id = a.id;
+      started.id = action.id;
       started.attempt = attempt;
-      started.endpoint = a.endpoint;
+      started.endpoint = action.endpoint;
       started.duration = random_.chance(0.5) ? duration / 2 : 0;
       started.billed_units = 1.5;
       plan(now + duration / 2, gateway, started);
     }
-    plan_operation(now + duration, [this, gateway, id = a.id, attempt, response](Micros later) {
+    plan_operation(now + duration, [this, gateway, id = action.id, attempt, response](TimePoint later) {
       end_attempt(later, gateway, id, attempt, response);
     });
   }
-  void end_attempt(Micros now, std::size_t gateway, const std::string& id, int attempt,
+  void end_attempt(TimePoint now, std::size_t gateway, const std::string& id, int attempt,
                    const Json& response) {
     OpenAttempt& open = attempts_.at(id).at(std::size_t(attempt));
     if (open.ended) return;
@@ -308,46 +308,46 @@
     std::get<AttemptEnded>(event).replayable = !random_.chance(0.02);
     plan(now, gateway, event);
   }
-  void act(Micros now, std::size_t gateway, const CancelAttempt& a) {
-    end_attempt(now, gateway, a.id, a.attempt,
+  void act(TimePoint now, std::size_t gateway, const CancelAttempt& action) {
+    end_attempt(now, gateway, action.id, action.attempt,
                 {{"what", "Response"},
-                 {"Id", a.id},
-                 {"Go", a.attempt},
-                 {"Server", attempts_.at(a.id).at(std::size_t(a.attempt)).endpoint},
+                 {"Id", action.id},
+                 {"Go", action.attempt},
+                 {"Server", attempts_.at(action.id).at(std::size_t(action.attempt)).endpoint},
                  {"Disposition", "CXL"},
                  {"DurationUs", 10 * kMillisecond}});
   }
-  void act(Micros, std::size_t, const RejectRequest&) {}
-  void act(Micros, std::size_t, const FailRequest&) {}
-  void act(Micros, std::size_t gateway, const SetTimer& a) {
-    if (a.at > end_of_requests() + 10 * kOneSecond) return;
-    plan_json(a.at, gateway, {{"what", "Alarm"}, {"Label", a.token}});
+  void act(Duration, std::size_t, const RejectRequest&) {}
+  void act(Duration, std::size_t, const FailRequest&) {}
+  void act(Duration, std::size_t gateway, const SetTimer& action) {
+    if (action.at > end_of_requests() + 10 * kOneSecond) return;
+    plan_json(action.at, gateway, {{"what", "Alarm"}, {"Label", action.token}});
   }
-  void act(Micros, std::size_t, const SendProbe&) {}
-  void act(Micros now, std::size_t gateway, const IncrementCounter& a) {
+  void act(Duration, std::size_t, const SendProbe&) {}
+  void act(TimePoint now, std::size_t gateway, const IncrementCounter& action) {
     const double progress = double(now) / double(end_of_requests());
     const bool down = progress > 0.62 && progress < 0.68;
     const bool forgot = progress > 0.35 && progress < 0.40;
-    double& total = totals_[a.name];
-    total = (forgot ? 0 : total) + a.amount * (1 + scenario_.others_demand * random_.real());
-    Micros duration = random_.between(kMillisecond, 30 * kMillisecond);
+    double& total = totals_[action.name];
+    total = (forgot ? 0 : total) + action.amount * (1 + scenario_.others_demand * random_.real());
+    Duration duration = random_.between(kMillisecond, 30 * kMillisecond);
     std::string outcome = "GOOD";
     if (down) outcome = random_.chance(0.5) ? "LATE" : "NOCONN";
     if (!down && random_.chance(0.02)) outcome = "FULL";
     if (outcome == "LATE") duration = 50 * kMillisecond;
     plan_json(now + duration, gateway,
               {{"what", "CounterReply"},
-               {"Cname", a.name},
+               {"Cname", action.name},
                {"Total", total},
                {"DurationUs", duration},
                {"Disposition", outcome}});
   }
-  void act(Micros now, std::size_t, const SubscribeEndpoints&) {
+  void act(TimePoint now, std::size_t, const SubscribeEndpoints&) {
     Json all = Json::array();
     for (int i = 0; i < scenario_.endpoints; ++i) all.push_back(entry(i));
     plan_list(now + 15 * kMillisecond, "Complete", all);
   }
-  void act(Micros, std::size_t, const LogMessage&) {}
+  void act(Duration, std::size_t, const LogMessage&) {}
 
   const Scenario& scenario_;
   UniformSource random_;
--- a/tests/decision/hot_restart_state_test.cpp
+++ b/tests/decision/hot_restart_state_test.cpp
@@ -8,7 +8,7 @@
 namespace quota_gateway::testing {
 namespace {
 
-// What one gateway lets in, and the one that takes its place at the same instant.
+// A gateway and the one that replaces it at the same instant.
 class HotRestartStateTest : public ::testing::Test {
  protected:
   Settings settings = basic_settings();
@@ -17,15 +17,13 @@
     before.emplace(settings);
     after.emplace(settings, up({"a", "b", "c"}), 8);
   }
-  void hand_over(TimePoint now) {
-    after->step(now, {StateRestored{before->engine().begin_hot_restart(now)}});
-  }
+  void restart(TimePoint now) { after->step(now, {StateRestored{before->engine().begin_hot_restart(now)}}); }
 };
 
 TEST_F(HotRestartStateTest, SpentTokensStaySpentAndTheOldProcessAdmitsNothingMore) {
   start();
   EXPECT_EQ(before->burst(kMillisecond, 6), 6);  // of the even part, ten
-  hand_over(2 * kMillisecond);
+  restart(2 * kMillisecond);
   EXPECT_EQ(before->burst(3 * kMillisecond, 5), 0);
   EXPECT_EQ(after->burst(3 * kMillisecond, 10), 4);
 }
@@ -33,10 +31,10 @@
 TEST_F(HotRestartStateTest, TheHardLimitHoldsOverBothProcessesWithQueuedRequests) {
   settings.plans[0].rate = settings.plans[0].burst = 1000;
   settings.plans[0].hard_limit_rate = 0.001;
-  settings.plans[0].hard_limit_burst = 1012;  // six of what lies beyond the burst are our part
+  settings.plans[0].hard_limit_burst = 1012;  // of what lies beyond the burst, six are our part
   start();
   EXPECT_EQ(before->burst(kMillisecond, 4), 4);
-  hand_over(2 * kMillisecond);
+  restart(2 * kMillisecond);
   EXPECT_EQ(after->burst(3 * kMillisecond, 5), 2);
 }
 
@@ -45,7 +43,7 @@
   settings.plans[0].max_concurrent_attempts = 4;  // two of them our part
   start();
   EXPECT_EQ(actions_of<SendAttempt>(before->arrive(kMillisecond, "x")).size(), 1u);
-  hand_over(2 * kMillisecond);
+  restart(2 * kMillisecond);
   EXPECT_EQ(actions_of<SendAttempt>(after->arrive(3 * kMillisecond, "y")).size(), 1u);
   EXPECT_EQ(actions_of<SendAttempt>(after->arrive(3 * kMillisecond, "z")).size(), 0u);
   after->step(4 * kMillisecond, {PredecessorAttempts{{}}});
@@ -62,7 +60,7 @@
   before.emplace(settings, cold);
   after.emplace(settings, cold, 8);
   EXPECT_EQ(before->burst(2 * kMillisecond, 3), 1);
-  hand_over(3 * kMillisecond);
+  restart(3 * kMillisecond);
   EXPECT_EQ(after->burst(4 * kMillisecond, 3), 0);
 }
 
--- a/tests/decision/outlier_ejection_test.cpp
+++ b/tests/decision/outlier_ejection_test.cpp
@@ -42,7 +42,7 @@
                        fails ? Outcome::kError : Outcome::kOk, n, fails ? kMillisecond : 15 * kMillisecond);
     }
   }
-  EXPECT_LE(failed, 4);  // of 100: three until it is left, and one trial
+  EXPECT_LE(failed, 4);  // of 100: three until it is ejected, and one probe
 }
 
 }  // namespace
--- a/tests/decision/rate_limiter_test.cpp
+++ b/tests/decision/rate_limiter_test.cpp
@@ -25,7 +25,7 @@
   RequestArrived first = EngineHarness::request("other", kSecond);
   first.customer = "c2";
   engine.step(kSecond, {first});
-  EXPECT_EQ(engine.burst(10 * kSecond, 10), 10);  // of twelve: nobody can have spent them since
+  EXPECT_EQ(engine.burst(10 * kSecond, 10), 10);  // of twelve: no predecessor can have spent them since
 }
 
 TEST(RateLimiter, TheLimitHoldsWithoutACounter) {
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -41,8 +41,8 @@
 }
 
 TEST(RetryPolicy, AKeyedRetryFromADelayedSenderStillArrivesWithinTheDedupWindow) {
-  // A gateway may be held up for 150 ms between reading its clock and writing, after a connection that came
-  // up as late as allowed.
+  // A gateway may be delayed by 150 ms between reading its clock and writing, after a connection that was
+  // established as late as allowed.
   Settings settings = basic_settings();
   settings.classes[0].idempotency = Idempotency::kByKey;
   settings.classes[0].dedup_scope = DedupScope::kAll;
@@ -93,7 +93,7 @@
   auto quick = actions_of<SendAttempt>(engine.arrive(0, "quick"));
   engine.end(0, quick.at(0), Outcome::kOk, 0, 5 * kMillisecond);
   ASSERT_EQ(actions_of<SendAttempt>(engine.arrive(kMillisecond, "r")).size(), 1u);
-  // Its work may well be the fivefold of a sixth of the aim.
+  // Its work may well be five times a sixth of the latency objective.
   EXPECT_TRUE(actions_of<CancelAttempt>(engine.run(400 * kMillisecond)).empty());
 }
 
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -29,8 +29,8 @@
   EXPECT_EQ(actions_of<SendAttempt>(engine.log()).size(), 1u);
 }
 
-// What a fleet of gateways, each with little to send, sends to 12 cold servers over what would be their part
-// by the capacity that they have at the least, beside 8 warm ones. Each answer takes 100 ms.
+// Plays a fleet of gateways, each with little traffic, over 12 endpoints in slow start and 8 warm ones.
+// Returns the load of the fresh ones over their part by their least capacity. Each response takes 100 ms.
 double fresh_endpoint_share(int gateways, Duration between) {
   Settings settings = basic_settings();
   settings.gateway_count = gateways;
@@ -48,7 +48,7 @@
   }
   std::vector<std::string> old;
   for (int i = 0; i < 8; ++i) old.push_back(numbered("old", i));
-  double to_cold = 0, all_sent = 0, fair = 0;
+  double sent_to_fresh = 0, all_sent = 0, fair = 0;
   for (int g = 0; g < gateways; ++g) {
     settings.gateway_index = g;
     EngineHarness engine(settings, up(old), std::uint64_t(g + 1));
@@ -64,36 +64,37 @@
       auto more = engine.arrive(now, numbered("r", now));
       append(sent, more);
       for (const SendAttempt& attempt : actions_of<SendAttempt>(sent)) {
-        const double warmth = 0.21 + 0.79 * double(now - kJoin) / double(settings.slow_start_duration);
+        const double slow_start_factor =
+            0.21 + 0.79 * double(now - kJoin) / double(settings.slow_start_duration);
         if (joined) {
           ++all_sent;
-          to_cold += attempt.endpoint[0] == 'n';
-          fair += 12 * warmth / (12 * warmth + 8);
+          sent_to_fresh += attempt.endpoint[0] == 'n';
+          fair += 12 * slow_start_factor / (12 * slow_start_factor + 8);
         }
         engine.end(now + 100 * kMillisecond, attempt, Outcome::kOk, 0, 100 * kMillisecond);
       }
     }
   }
   EXPECT_GT(all_sent, 0.9 * gateways * double(kEnd - kJoin) / double(between));
-  return to_cold / fair;
+  return sent_to_fresh / fair;
 }
 
 TEST(SlowStart, AFleetSendsFreshEndpointsTheirFairPart) {
   const double part = fresh_endpoint_share(300, 2 * kSecond);
-  EXPECT_GT(part, 0.5);  // idle ones beside full warm ones
+  EXPECT_GT(part, 0.5);  // they would idle beside loaded warm ones
   EXPECT_LT(part, 1.5);
 }
 
-// So many gateways with traffic of one to some ten requests a second for each thirty, six warm servers and
-// two that start cold; two in three gateways start anew right after that and know of no load yet; one attempt
-// in four is turned away and tried again, of those at warm servers the given share from then on. The most
-// that a cold server got in a window, against what it may get from all together, its budget being reckoned
-// from what a warm one bears.
-double peak_use_of_slow_start_budget(int gateways, std::uint64_t seed, Duration restart, double turned_away,
-                                     Duration quiet = 0) {
+// Plays a fleet with one to ten requests a second for each thirty gateways, six warm endpoints and two that
+// join in slow start. Two in three gateways restart `restart` later and have observed no load yet. One
+// attempt in four is rejected as overloaded and retried; after the join, the given share at warm endpoints.
+// Returns the peak load of a fresh endpoint in a window, over the budget that it has for all gateways
+// together.
+double peak_use_of_slow_start_budget(int gateways, std::uint64_t seed, Duration restart,
+                                     double rejected_share, Duration idle_time = 0) {
   constexpr int kWarm = 6;
-  constexpr TimePoint kQuietFrom = 8 * kSecond;
-  const TimePoint kJoin = kQuietFrom + quiet, kEnd = kJoin + 12 * kSecond;
+  constexpr TimePoint kIdleFrom = 8 * kSecond;
+  const TimePoint kJoin = kIdleFrom + idle_time, kEnd = kJoin + 12 * kSecond;
   Settings settings = basic_settings();
   settings.gateway_count = gateways;
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
@@ -107,17 +108,17 @@
   all_of.insert(all_of.end(), fresh.begin(), fresh.end());
   std::mt19937_64 random(seed);
   std::uniform_real_distribution<double> chance(0, 1);
-  std::map<std::string, std::vector<Duration>> to_cold;
-  int to_warm = 0;
+  std::map<std::string, std::vector<Duration>> sent_to_fresh;
+  int sent_to_warm = 0;
   for (int g = 0; g < gateways; ++g) {
     settings.gateway_index = g;
     const double rate = std::exp(2.3 * chance(random)) * 30 / gateways;
     std::optional<EngineHarness> engine;
     engine.emplace(settings, old, seed * 1000 + std::uint64_t(g));
-    bool joined = false, anew = false;
+    bool joined = false, restarted = false;
     for (TimePoint now = kSecond; now < kEnd;
          now += Duration(-std::log(1 - chance(random)) / rate * double(kSecond))) {
-      if (now >= kQuietFrom && now < kJoin) now = kJoin + Duration(chance(random) * double(kSecond));
+      if (now >= kIdleFrom && now < kJoin) now = kJoin + Duration(chance(random) * double(kSecond));
       if (now >= kJoin && !std::exchange(joined, true)) {
         EndpointListUpdate list;
         list.kind = EndpointListUpdate::Kind::kPartial;
@@ -125,7 +126,7 @@
         engine->run(now - 1);
         engine->step(now, {list});
       }
-      if (g % 3 && now >= kJoin + restart && !std::exchange(anew, true))
+      if (g % 3 && now >= kJoin + restart && !std::exchange(restarted, true))
         engine.emplace(settings, all_of, seed * 1000 + 500 + std::uint64_t(g));
       auto out = engine->run(now);
       auto more = engine->arrive(now, numbered("r", now));
@@ -135,9 +136,9 @@
         const auto* const found = std::get_if<SendAttempt>(&out[i]);
         if (!found) continue;
         const SendAttempt attempt = *found;
-        if (attempt.endpoint[0] == 'n') to_cold[attempt.endpoint].push_back(now);
-        to_warm += attempt.endpoint[0] == 'o' && now < kJoin;
-        const double share = attempt.endpoint[0] == 'o' && now >= kJoin ? turned_away : 0.25;
+        if (attempt.endpoint[0] == 'n') sent_to_fresh[attempt.endpoint].push_back(now);
+        sent_to_warm += attempt.endpoint[0] == 'o' && now < kJoin;
+        const double share = attempt.endpoint[0] == 'o' && now >= kJoin ? rejected_share : 0.25;
         const Outcome o = chance(random) < share ? Outcome::kOverloaded : Outcome::kOk;
         auto next =
             engine->end(now + 100 * kMillisecond, attempt, o, attempts[attempt.id]++, 100 * kMillisecond);
@@ -145,15 +146,17 @@
       }
     }
   }
-  const double bears = double(to_warm) / kWarm / (double(kQuietFrom - kSecond) / kSecond);  // a second
+  const double warm_rate =
+      double(sent_to_warm) / kWarm / (double(kIdleFrom - kSecond) / kSecond);  // requests a second
   double worst = 0;
-  for (auto& [server, sends] : to_cold) {
+  for (auto& [server, sends] : sent_to_fresh) {
     std::sort(sends.begin(), sends.end());
     for (std::size_t i = 0, first = 0; i < sends.size(); ++i) {
       while (sends[i] - sends[first] >= settings.slow_start_window) ++first;
-      const double warmth = 0.21 + 0.79 * double(sends[first] - kJoin) / double(settings.slow_start_duration);
-      const double n =
-          settings.slow_start_overload_factor * warmth * bears * double(settings.slow_start_window) / kSecond;
+      const double slow_start_factor =
+          0.21 + 0.79 * double(sends[first] - kJoin) / double(settings.slow_start_duration);
+      const double n = settings.slow_start_overload_factor * slow_start_factor * warm_rate *
+                       double(settings.slow_start_window) / kSecond;
       worst = std::max(worst, double(i - first + 1) / (n + 2 * std::sqrt(n) + 2));
     }
   }
@@ -163,10 +166,10 @@
 TEST(SlowStart, AFleetKeepsToTheBudgetOfAFreshEndpointAlsoWhileGatewaysRestart) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed)
     for (const Duration restart : {300 * kMillisecond, 2 * kSecond})
-      for (const double turned_away : {0.25, 0.9}) {
-        const double worst = peak_use_of_slow_start_budget(30, seed, restart, turned_away);
-        EXPECT_LE(worst, 1) << seed << " " << restart << " " << turned_away;
-        EXPECT_GT(worst, 0.2) << seed << " " << restart << " " << turned_away;  // and it is not left alone
+      for (const double rejected_share : {0.25, 0.9}) {
+        const double worst = peak_use_of_slow_start_budget(30, seed, restart, rejected_share);
+        EXPECT_LE(worst, 1) << seed << " " << restart << " " << rejected_share;
+        EXPECT_GT(worst, 0.2) << seed << " " << restart << " " << rejected_share;  // and it is not starved
       }
 }
 
@@ -184,13 +187,13 @@
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       const double worst = peak_use_of_slow_start_budget(gateways, seed, 300 * kMillisecond, 0.9);
       EXPECT_LE(worst, 1) << gateways << " " << seed;
-      EXPECT_GT(worst, 0.1) << gateways << " " << seed;  // and it is not left alone
+      EXPECT_GT(worst, 0.1) << gateways << " " << seed;  // and it is not starved
     }
 }
 
-// Whether a server that is told of at `told` with this note of its start is spared at `at`, as one in slow
-// start is whose budget has nothing observed behind it.
-bool is_in_slow_start(Duration wall_offset, TimePoint note, TimePoint told, TimePoint at) {
+// Whether an endpoint that is announced at `announced_at` with the start `started_at` is in slow start at
+// `at`, which limits it to one request before peers are observed.
+bool is_in_slow_start(Duration wall_offset, TimePoint started_at, TimePoint announced_at, TimePoint at) {
   Settings settings = basic_settings();
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
   settings.slow_start_min_capacity = 0.2;
@@ -199,23 +202,23 @@
   settings.slow_start_window = kSecond;
   EngineHarness engine(settings, up({"old"}));
   engine.step(20 * kSecond, {EndpointListUpdate{EndpointListUpdate::Kind::kPartial, {}}});
-  engine.step(told - 1, {WallClockStepped{wall_offset}});
+  engine.step(announced_at - 1, {WallClockStepped{wall_offset}});
   EndpointListUpdate list;
   list.entries = up({"new"});
-  list.entries[0].started_at = note;
-  engine.step(told, {list});
+  list.entries[0].started_at = started_at;
+  engine.step(announced_at, {list});
   std::size_t sent = 0;
   for (int i = 0; i < 5; ++i) sent += actions_of<SendAttempt>(engine.arrive(at + i, numbered("r", i))).size();
   return sent < 2;
 }
 
 TEST(SlowStart, SlowStartFollowsRealTimeHoweverTheWallClockIsStepped) {
-  constexpr Duration kHour = 3600 * kSecond, kTold = kHour;
+  constexpr Duration kHour = 3600 * kSecond, kAnnouncedAt = kHour;
   for (const Duration step : {-kHour, -5 * kSecond, Duration(0), 5 * kSecond, kHour}) {
-    const TimePoint note = kTold - kSecond;  // by the clock before it was stepped
-    EXPECT_TRUE(is_in_slow_start(step, note, kTold, kTold + kSecond)) << step;
-    EXPECT_TRUE(is_in_slow_start(step, note, kTold, kTold + 10 * kSecond)) << step;
-    EXPECT_FALSE(is_in_slow_start(step, note, kTold, kTold + 15 * kSecond)) << step;
+    const TimePoint started_at = kAnnouncedAt - kSecond;  // by the clock before the step
+    EXPECT_TRUE(is_in_slow_start(step, started_at, kAnnouncedAt, kAnnouncedAt + kSecond)) << step;
+    EXPECT_TRUE(is_in_slow_start(step, started_at, kAnnouncedAt, kAnnouncedAt + 10 * kSecond)) << step;
+    EXPECT_FALSE(is_in_slow_start(step, started_at, kAnnouncedAt, kAnnouncedAt + 15 * kSecond)) << step;
   }
 }
 
