--- a/src/decision/field_serialization.hpp
+++ b/src/decision/field_serialization.hpp
@@ -1,26 +1,62 @@
-// Turns an object's members into the plain numbers of a hand-over and back. A type takes part by a member
-// template `visit_fields(f)` that calls `f` with each member, always in the same order.
+// Converts the state that a hot restart passes on into a flat list of numbers, and back.
+//
+// A type takes part by a member template `visit_fields(visitor)` that calls `visitor` with a reference to
+// each of its numeric fields, always the same fields in the same order. The list has no names and no version:
+// the order of the calls is the format. Only the length is checked, so a type that changes its order without
+// changing its length would read the values of another build into the wrong fields.
 #pragma once
 
+#include <concepts>
+#include <cstddef>
 #include <type_traits>
 
-#include "quota_gateway/decision_engine.hpp"
+#include "quota_gateway/events.hpp"
 
 namespace quota_gateway::decision {
 
+// A field that fits into one number of the list: an integer, a floating-point number or a flag.
 template <typename T>
-HotRestartState::Values serialize_fields(T& from) {
-  HotRestartState::Values out;
-  from.visit_fields([&](const auto& x) { out.push_back(double(x)); });
-  return out;
-}
+concept SerializableField = std::is_arithmetic_v<T>;
+
+// Accepts each field that can be serialized; tells whether a type offers `visit_fields`.
+struct FieldVisitorArchetype {
+  template <SerializableField Field>
+  void operator()(Field& field) const;
+};
 
-// False, with nothing changed, if the numbers come from another build.
 template <typename T>
-bool deserialize_fields(T& into, const HotRestartState::Values& in) {
-  if (in.size() != serialize_fields(into).size()) return false;
-  auto next = in.begin();
-  into.visit_fields([&](auto& x) { x = std::remove_reference_t<decltype(x)>(*next++); });
+concept FieldVisitable = requires(T& object, FieldVisitorArchetype visitor) {
+  object.visit_fields(visitor);
+};
+
+// The values of all fields, in the order of `visit_fields`.
+template <FieldVisitable T>
+HotRestartState::Values serialize_fields(T& object) {
+  HotRestartState::Values values;
+  object.visit_fields([&values]<SerializableField Field>(const Field& field) {
+    values.push_back(static_cast<double>(field));
+  });
+  return values;
+}
+
+// The length of the list that `serialize_fields` returns.
+template <FieldVisitable T>
+std::size_t count_fields(T& object) {
+  std::size_t count = 0;
+  object.visit_fields([&count]<SerializableField Field>(const Field&) { ++count; });
+  return count;
+}
+
+// Sets all fields from a list that `serialize_fields` returned. Returns false and changes nothing if the list
+// has another length, because it was then written by another build.
+template <FieldVisitable T>
+bool deserialize_fields(T& object, const HotRestartState::Values& values) {
+  if (values.size() != count_fields(object)) return false;
+  auto next_value = values.begin();
+  object.visit_fields([&next_value]<SerializableField Field>(Field& field) {
+    field = static_cast<Field>(*next_value);
+    ++next_value;
+  });
   return true;
 }
 
