--- /dev/null
+++ b/src/decision/quota/counter_sync.cpp
@@ -0,0 +1,141 @@
+#include "decision/quota/counter_sync.hpp"
+
+#include <utility>
+
+#include "decision/numeric.hpp"
+#include "decision/quota/demand_estimator.hpp"
+#include "decision/quota/slice_bucket.hpp"
+
+namespace quota_gateway::decision {
+
+namespace {
+
+// A total below this part of the units that this gateway itself has added shows that the counter lost some.
+constexpr double kLostUnitsTolerance = 0.999;
+
+// Whether the last total still informs about the remote demand. At one of many gateways a customer's
+// requests are so rare that it often does not.
+bool has_recent_total(TimePoint now, const CustomerQuota& customer) {
+  if (customer.last_total_at <= 0) return false;
+  const auto age_micros = static_cast<double>(now - customer.last_total_at);
+  return age_micros <= demand_time_constant(customer) * kMicrosPerSecond;
+}
+
+// After the counter has lost units, its total covers the demand from now on only.
+void restart_total(TimePoint now, double total, CustomerQuota& customer) {
+  customer.reported_units = total;
+  customer.total_covers_since = now;
+  customer.prior_remote_rate = customer.remote_demand_rate;
+}
+
+}  // namespace
+
+bool CounterSync::sync_if_due(TimePoint now, const std::string& customer_id, CustomerQuota& customer,
+                              std::vector<Action>& actions) {
+  if (!settings_.has_counter || customer.quota_rate <= 0 || customer.unreported_units <= 0) return false;
+  const bool is_known = has_recent_total(now, customer);
+  if (!is_known && customer.syncs_in_flight > 0) return !pacer_.is_counter_unavailable();
+  pacer_.refill(now);
+  if (customer.syncs_in_flight > 0) return false;
+  // A customer without a recent total comes first: its remote demand is unknown until a call has been made.
+  if (is_known) {
+    if (now - customer.last_sync_at < kPeriod) return false;
+    if (!pacer_.is_deferrable_call_available(customer.unreported_requests)) return false;
+  } else if (!pacer_.is_call_available()) {
+    return false;
+  }
+  pacer_.consume_call();
+  start_epoch_if_due(now, customer);
+  send_increment(now, customer_id, customer, actions);
+  return !is_known && !pacer_.is_counter_unavailable();
+}
+
+void CounterSync::sync_periodically(TimePoint now, const std::string& customer_id, CustomerQuota& customer,
+                                    std::vector<Action>& actions) {
+  const double unreported_before = customer.unreported_units;
+  sync_if_due(now, customer_id, customer, actions);
+  // Many calls are made in this pass, after the unreported demand has grown for a period; its mean over the
+  // period is about half of that.
+  const double unreported_mean = (unreported_before + customer.unreported_units) / 2;
+  const double demand_units = customer.local_demand_rate * demand_time_constant(customer);
+  unreported_fraction_.add_sample(customer.plan, demand_units, unreported_mean);
+}
+
+std::optional<CounterSync::PendingIncrement> CounterSync::on_reply(TimePoint now, const CounterReply& reply) {
+  const auto found = pending_.find(reply.name);
+  if (found == pending_.end()) return std::nullopt;
+  PendingIncrement increment = std::move(found->second);
+  pending_.erase(found);
+  pacer_.on_reply(now, reply, settings_.counter_timeout);
+  return increment;
+}
+
+void CounterSync::apply_reply(TimePoint now, const CounterReply& reply, const PendingIncrement& increment,
+                              CustomerQuota& customer) {
+  --customer.syncs_in_flight;
+  if (reply.outcome == CounterOutcome::kNotAdded) customer.unreported_units += increment.units;
+  if (reply.outcome != CounterOutcome::kOk || epoch_clock_.is_distrusted(now, customer)) return;
+  advance_slice(now, customer);
+  const double seconds_since_sync = to_seconds(now - customer.last_sync_at);
+  customer.reported_units += increment.units * demand_decay(customer, seconds_since_sync);
+  const double total = reply.total / epoch_clock_.scale(now, customer);
+  if (total < customer.reported_units * kLostUnitsTolerance) {
+    restart_total(now, total, customer);
+  } else {
+    apply_total(now, total, customer);
+  }
+}
+
+double CounterSync::units_in_flight(const std::string& customer_id) const {
+  double units = 0;
+  for (const auto& [name, increment] : pending_) {
+    if (increment.customer_id == customer_id) units += increment.units;
+  }
+  return units;
+}
+
+void CounterSync::start_epoch_if_due(TimePoint now, CustomerQuota& customer) const {
+  const std::int64_t epoch = epoch_clock_.epoch_at(now, customer);
+  if (epoch == customer.epoch) return;
+  customer.epoch = epoch;
+  customer.reported_units = 0;
+  customer.total_covers_since = epoch_clock_.usable_since(customer);
+  customer.prior_remote_rate = customer.remote_demand_rate;
+}
+
+void CounterSync::send_increment(TimePoint now, const std::string& customer_id, CustomerQuota& customer,
+                                 std::vector<Action>& actions) {
+  const std::int64_t name = counter_name(customer);
+  pending_[name] = {.customer_id = customer_id, .units = customer.unreported_units};
+  actions.emplace_back(
+      IncrementCounter{.name = name,
+                       .amount = customer.unreported_units * epoch_clock_.scale(now, customer),
+                       .ttl = kCounterNameTtl});
+  customer.unreported_units = 0;
+  customer.unreported_requests = 0;
+  customer.last_sync_at = now;
+  ++customer.syncs_in_flight;
+}
+
+void CounterSync::apply_total(TimePoint now, double total, CustomerQuota& customer) const {
+  const double remote_units = total - customer.reported_units;
+  const double reported_rate = remote_units / demand_time_constant(customer);
+  const double estimated_rate = reported_rate / (1 - remote_unreported_fraction(customer));
+  const double seconds_covered = to_seconds(now - customer.total_covers_since);
+  customer.remote_demand_rate =
+      estimated_rate + customer.prior_remote_rate * demand_decay(customer, seconds_covered);
+  const bool is_first_total = customer.last_total_at <= 0;
+  if (is_first_total) apply_first_remote_demand(customer);
+  customer.last_total_at = now;
+  share_fleet_tokens(customer);
+}
+
+// No total contains what the other gateways have not reported yet; where there are many, that would admit a
+// large part of the demand beyond the quota. Many gateways are alike, so each takes its own unreported
+// fraction for that of the others. Between few gateways the fractions differ too much.
+double CounterSync::remote_unreported_fraction(const CustomerQuota& customer) const {
+  if (settings_.gateway_count < kManyGateways) return 0;
+  return unreported_fraction_.estimate(customer.plan);
+}
+
+}  // namespace quota_gateway::decision
