--- a/src/decision/quota/concurrency_cap.cpp
+++ b/src/decision/quota/concurrency_cap.cpp
@@ -1,3 +1,4 @@
+// The cap on a customer's concurrent attempts.
 #include "decision/quota/concurrency_cap.hpp"
 
 #include <algorithm>
--- a/src/decision/quota/counter_epoch.cpp
+++ b/src/decision/quota/counter_epoch.cpp
@@ -1,3 +1,4 @@
+// Counter names by epoch, and the scale of the increments within one.
 #include "decision/quota/counter_epoch.hpp"
 
 #include <algorithm>
--- a/src/decision/quota/counter_pacer.cpp
+++ b/src/decision/quota/counter_pacer.cpp
@@ -1,3 +1,4 @@
+// Additive increase, multiplicative decrease of the rate of counter calls.
 #include "decision/quota/counter_pacer.hpp"
 
 #include <algorithm>
--- a/src/decision/quota/counter_sync.cpp
+++ b/src/decision/quota/counter_sync.cpp
@@ -1,3 +1,4 @@
+// Increments of the shared counter, and what follows from its totals.
 #include "decision/quota/counter_sync.hpp"
 
 #include <utility>
--- a/src/decision/quota/customer_quota.cpp
+++ b/src/decision/quota/customer_quota.cpp
@@ -1,3 +1,4 @@
+// The quota rate and burst that follow from a customer's plan.
 #include "decision/quota/customer_quota.hpp"
 
 #include <algorithm>
--- a/src/decision/quota/demand_estimator.cpp
+++ b/src/decision/quota/demand_estimator.cpp
@@ -1,3 +1,4 @@
+// The exponentially decaying mean of a customer's demand.
 #include "decision/quota/demand_estimator.hpp"
 
 #include <algorithm>
--- a/src/decision/quota/quota_slices.cpp
+++ b/src/decision/quota/quota_slices.cpp
@@ -1,3 +1,4 @@
+// Admission by quota slices: the customers, their requests and their hot restart values.
 #include "decision/quota/quota_slices.hpp"
 
 #include <algorithm>
--- a/src/decision/quota/rate_limiter.cpp
+++ b/src/decision/quota/rate_limiter.cpp
@@ -1,3 +1,4 @@
+// The hard rate limit: a token bucket by customer and gateway.
 #include "decision/quota/rate_limiter.hpp"
 
 #include <algorithm>
--- a/src/decision/quota/slice_bucket.cpp
+++ b/src/decision/quota/slice_bucket.cpp
@@ -1,3 +1,4 @@
+// The token bucket of one customer's slice.
 #include "decision/quota/slice_bucket.hpp"
 
 #include <algorithm>
--- a/src/decision/quota/unreported_fraction.cpp
+++ b/src/decision/quota/unreported_fraction.cpp
@@ -1,3 +1,4 @@
+// The part of the demand that has not been reported to the shared counter.
 #include "decision/quota/unreported_fraction.hpp"
 
 #include <algorithm>
