--- a/src/decision/endpoints/weighted_sampler.hpp
+++ b/src/decision/endpoints/weighted_sampler.hpp
@@ -1,4 +1,5 @@
-// Draws slots at random by weight; a change of one weight and a draw take logarithmic time (a Fenwick tree).
+// Random selection of slots in proportion to their weights, on a Fenwick tree (binary indexed tree): changing
+// one weight and finding one slot take logarithmic time.
 #pragma once
 
 #include <cstddef>
@@ -6,20 +7,27 @@
 
 namespace quota_gateway::decision {
 
+// Weights by slot number, with their prefix sums.
 class WeightedSampler {
  public:
-  // The number of the new slot, whose weight is 0.
+  // Appends a slot of weight 0 and returns its number.
   std::size_t add_slot();
+
   void set(std::size_t slot, double weight);
-  // Weights of all slots at once, in linear time; also clears what rounding has left behind.
+
+  // Replaces the weights of all slots in linear time. This also discards the rounding errors that repeated
+  // calls of set() leave in the tree.
   void assign(std::vector<double> weights);
+
   [[nodiscard]] double weight(std::size_t slot) const { return weights_[slot]; }
-  [[nodiscard]] double total() const { return prefix(weights_.size()); }
-  // The slot on which `point` falls, for a point from 0 up to, and without, total().
+  [[nodiscard]] double total() const { return prefix_sum(weights_.size()); }
+
+  // Returns the slot whose part of the cumulative weights contains `point`, where 0 <= point < total().
   [[nodiscard]] std::size_t find(double point) const;
 
  private:
-  [[nodiscard]] double prefix(std::size_t count) const;
+  // The sum of the weights of the first `count` slots.
+  [[nodiscard]] double prefix_sum(std::size_t count) const;
 
   std::vector<double> weights_;
   std::vector<double> tree_;  // tree_[i - 1] sums the weights of the (i & -i) slots that end at i
