--- /dev/null
+++ b/src/decision/endpoints/concurrency_limit.cpp
@@ -0,0 +1,100 @@
+#include "decision/endpoints/concurrency_limit.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "decision/endpoints/attempt_report.hpp"
+#include "decision/numeric.hpp"
+
+namespace quota_gateway::decision {
+namespace {
+
+constexpr double kMinAttemptsPerEndpoint = 2;  // from all gateways together; also the initial value
+constexpr double kBurstDeviations = 2;         // standard deviations above the limit for a burst
+
+// Adaptation of the limit.
+// The fleet counts as overloaded while its latency is above this multiple of the idle latency.
+constexpr double kCongestionLatencyRatio = 1.6;
+constexpr double kMaxLatencySampleRatio = 4;       // idle latencies that one attempt counts for at the most
+constexpr double kDecreaseFactor = 0.85;           // at most once per mean latency
+constexpr double kIncreaseStep = 0.04;             // attempts, per response while the limit binds
+constexpr double kIncreaseMaxSpareFraction = 0.5;  // of the limit; the limit binds if less capacity is spare
+
+// Smoothing factors per response.
+constexpr double kLatencySmoothing = 1.0 / 30;
+constexpr double kSlowLatencySmoothing = 1.0 / 150;  // so slow that the minimum is no chance result
+constexpr double kIdleLatencyRise = 1.0 / 40'000;    // how fast the estimate may rise
+
+}  // namespace
+
+double ConcurrencyLimit::limit() const {
+  const double fleet_minimum = kMinAttemptsPerEndpoint * std::max(fleet_.in_use(), 1);
+  return std::max(adaptive_limit_, fleet_minimum / settings_.gateway_count);
+}
+
+double ConcurrencyLimit::utilization(TimePoint now) {
+  update_spare_capacity(now);
+  return 0.5 - 0.5 * spare_capacity_ / limit();
+}
+
+bool ConcurrencyLimit::has_capacity(TimePoint now) {
+  update_spare_capacity(now);
+  return spare_capacity_ > 0 && in_flight_ < 1 + limit() + kBurstDeviations * std::sqrt(limit());
+}
+
+void ConcurrencyLimit::on_attempt_sent(TimePoint now) {
+  update_spare_capacity(now);
+  ++in_flight_;
+}
+
+void ConcurrencyLimit::on_attempt_ended(TimePoint now, const AttemptReport& report) {
+  update_spare_capacity(now);
+  --in_flight_;
+  const double idle_latency = estimated_idle_latency();
+  if (report.has_load_dependent_latency()) add_latency_sample(report, idle_latency);
+  adapt(now, report, idle_latency);
+}
+
+void ConcurrencyLimit::update_spare_capacity(TimePoint now) {
+  const double unused = (limit() - in_flight_) * double(now - spare_capacity_at_) / kMicrosPerSecond;
+  spare_capacity_ = std::clamp(spare_capacity_ + unused, -limit(), limit());
+  spare_capacity_at_ = now;
+}
+
+// Until enough responses have come, the latency objective gives an estimate. Without it, one of many gateways
+// would raise its limit for seconds, however late the responses are.
+double ConcurrencyLimit::estimated_idle_latency() const {
+  return idle_latency_ > 0 ? idle_latency_ : kIdleLatencyFraction;
+}
+
+void ConcurrencyLimit::add_latency_sample(const AttemptReport& report, double idle_latency) {
+  // A few attempts that are lost or far more expensive than others do not show an overloaded fleet.
+  const double sample = std::min(report.time_over_objective, kMaxLatencySampleRatio * idle_latency);
+  smoothed_latency_ += kLatencySmoothing * (sample - smoothed_latency_);
+  ++sample_count_;
+  const double slow_smoothing = std::max(kSlowLatencySmoothing, 1.0 / sample_count_);
+  slowly_smoothed_latency_ += slow_smoothing * (sample - slowly_smoothed_latency_);
+
+  // The first responses are the fastest; an idle latency from these alone would be too low.
+  if (sample_count_ <= 1 / kSlowLatencySmoothing) return;
+  if (idle_latency_ <= 0) {
+    idle_latency_ = slowly_smoothed_latency_;
+  } else {
+    const double risen = idle_latency_ + kIdleLatencyRise * (slowly_smoothed_latency_ - idle_latency_);
+    idle_latency_ = std::min(slowly_smoothed_latency_, risen);
+  }
+}
+
+void ConcurrencyLimit::adapt(TimePoint now, const AttemptReport& report, double idle_latency) {
+  // One overloaded endpoint, or one plan's limit there, says nothing about the fleet.
+  if (report.outcome == Outcome::kOverloaded) return;
+  if (smoothed_latency_ <= kCongestionLatencyRatio * idle_latency) {
+    const bool limit_binds = spare_capacity_ < kIncreaseMaxSpareFraction * limit();
+    if (report.has_load_dependent_latency() && limit_binds) adaptive_limit_ = limit() + kIncreaseStep;
+  } else if (double(now - decreased_at_) > report.mean_time) {
+    adaptive_limit_ = limit() * kDecreaseFactor;
+    decreased_at_ = now;
+  }
+}
+
+}  // namespace quota_gateway::decision
--- /dev/null
+++ b/src/decision/endpoints/concurrency_limit.hpp
@@ -0,0 +1,68 @@
+// The adaptive limit of this gateway's attempts in flight. Overloaded endpoints lose throughput, which makes
+// responses later still and congestion collapse likely; so the limit falls as the latency over all endpoints
+// rises above its value without load (additive increase, multiplicative decrease).
+#pragma once
+
+#include "decision/endpoints/endpoint.hpp"
+#include "decision/latency_estimates.hpp"
+
+namespace quota_gateway::decision {
+
+struct AttemptReport;
+
+// Limits the mean number of attempts in flight. With more gateways than endpoints the limit is below one, so
+// more attempts may be in flight for a while, as long as capacity was left unused shortly before.
+class ConcurrencyLimit {
+ public:
+  ConcurrencyLimit(const Settings& settings, const FleetStatus& fleet) : settings_(settings), fleet_(fleet) {}
+
+  // An attempt takes capacity from its start to its end.
+  void on_attempt_sent(TimePoint now);
+
+  // Releases the capacity of an attempt and adapts the limit to its latency.
+  void on_attempt_ended(TimePoint now, const AttemptReport& report);
+
+  // The mean number of attempts that may be in flight. Its minimum is this gateway's part of a fixed number
+  // of attempts per endpoint.
+  [[nodiscard]] double limit() const;
+
+  // True if one more attempt may be sent.
+  [[nodiscard]] bool has_capacity(TimePoint now);
+
+  // The part of the capacity that is in use, from 0 to 1.
+  [[nodiscard]] double utilization(TimePoint now);
+
+  // Visits the values that a hot restart passes on. The order may not change: they are restored by position.
+  template <typename Visitor>
+  void visit_fields(Visitor visit) {
+    visit(adaptive_limit_);
+    visit(smoothed_latency_);
+    visit(slowly_smoothed_latency_);
+    visit(idle_latency_);
+    visit(sample_count_);
+    visit(decreased_at_);
+  }
+
+ private:
+  // Adds the capacity that was left unused since the last call.
+  void update_spare_capacity(TimePoint now);
+  void add_latency_sample(const AttemptReport& report, double idle_latency);
+  void adapt(TimePoint now, const AttemptReport& report, double idle_latency);
+  [[nodiscard]] double estimated_idle_latency() const;
+
+  const Settings& settings_;
+  const FleetStatus& fleet_;
+  int in_flight_ = 0;
+  double spare_capacity_ = 1;  // attempt-seconds unused in the last second, from -limit() to limit()
+  TimePoint spare_capacity_at_ = 0;
+
+  double adaptive_limit_ = 0;
+  TimePoint decreased_at_ = 0;
+  // Latencies as multiples of the latency objective.
+  double smoothed_latency_ = kIdleLatencyFraction;
+  double slowly_smoothed_latency_ = 0;
+  double idle_latency_ = 0;  // without load; 0: not known yet
+  int sample_count_ = 0;
+};
+
+}  // namespace quota_gateway::decision
--- /dev/null
+++ b/src/decision/endpoints/endpoint_picker.cpp
@@ -0,0 +1,204 @@
+#include "decision/endpoints/endpoint_picker.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <tuple>
+#include <utility>
+
+#include "decision/endpoints/endpoint_cost.hpp"
+#include "decision/endpoints/relative_latency.hpp"
+
+namespace quota_gateway::decision {
+namespace {
+
+constexpr int kMinCandidates = 2;  // and in addition this gateway's part of the fleet of endpoints
+// Without load reports many gateways cannot see that they all prefer the same endpoint; more candidates
+// spread their picks.
+constexpr int kExtraCandidatesWithoutReports = 10;
+// The number of samples is limited to twice the wanted candidates, but not to less than this.
+constexpr std::size_t kMinSampleLimit = 64;
+constexpr Duration kFailedPickBackoff = 20'000;  // us
+// One endpoint's share of the concurrency limit, as a multiple of its share of the weights.
+constexpr double kMaxShareOfLimit = 1.6;
+constexpr double kMinTotalWeight = 1e-9;        // avoids a division by zero
+constexpr double kNegligibleWeightPart = 1e-9;  // of the total; what rounding may leave in the sampler
+
+}  // namespace
+
+void EndpointPicker::add(Endpoint& endpoint) {
+  endpoint.slot = sampler_.add_slot();
+  endpoints_.push_back(&endpoint);
+}
+
+// The configured weight, lowered by slow start and by a latency above that of the other endpoints.
+double EndpointPicker::effective_weight(TimePoint now, const Endpoint& endpoint, double mean_latency) const {
+  return endpoint.configured_weight() * slow_start_.factor(now, endpoint) /
+         relative_latency(now, endpoint, mean_latency);
+}
+
+void EndpointPicker::update_weight(TimePoint now, const Endpoint& endpoint, double mean_latency) {
+  const double weight = endpoint.is_in_use(now) ? effective_weight(now, endpoint, mean_latency) : 0;
+  sampler_.set(endpoint.slot, weight);
+}
+
+void EndpointPicker::update_all_weights(TimePoint now) {
+  std::vector<double> weights(endpoints_.size());
+  for (const Endpoint* endpoint : endpoints_) {
+    if (endpoint->is_in_use(now)) weights[endpoint->slot] = effective_weight(now, *endpoint, 0);
+  }
+  sampler_.assign(std::move(weights));
+}
+
+Endpoint* EndpointPicker::pick(const PickRequest& request, const EndpointFilter& is_allowed) {
+  if (!request.restricted && request.now < backoff_until_) return nullptr;
+  Search search{.request = request,
+                .total_weight = sampler_.total(),
+                .concurrency_limit = concurrency_limit_.limit(),
+                .diverted = request.restricted};
+  std::vector<Candidate> candidates = sample_candidates(search, is_allowed);
+  if (candidates.empty()) candidates = scan(search, is_allowed);
+  // The failure of a zone can eject more endpoints than is plausible. They are then used, but only after all
+  // others.
+  if (candidates.empty() && is_ejected_fraction_exceeded(fleet_)) {
+    candidates = scan_ejected(search, is_allowed);
+  }
+  if (candidates.empty() && !request.restricted) backoff_until_ = request.now + kFailedPickBackoff;
+  return least_cost(request.now, candidates);
+}
+
+// Tells whether the endpoint has capacity for the attempt. Drops its slow start sends that are too old to
+// count.
+bool EndpointPicker::is_eligible(const Search& search, const Sample& sample) const {
+  Endpoint& endpoint = *sample.endpoint;
+  if (endpoint.half_open && endpoint.out > 0) return false;
+  const double share = kMaxShareOfLimit * search.concurrency_limit * sample.effective_weight /
+                       std::max(search.total_weight, kMinTotalWeight);
+  if (endpoint.out >= std::max(1.0, std::round(share))) return false;
+  return slow_start_.has_budget(search.request.now, endpoint, search.request.work, search.diverted);
+}
+
+EndpointPicker::Candidate EndpointPicker::make_candidate(const Search& search, const Sample& sample) const {
+  const double cost = attempt_cost(search.request.now, *sample.endpoint, sample.effective_weight, settings_);
+  return {.endpoint = sample.endpoint, .cost = cost};
+}
+
+// If each of many gateways picked the best of all endpoints, all would pick the same one. A gateway compares
+// the fewer endpoints, the smaller its part of the whole load is.
+std::size_t EndpointPicker::candidate_count() const {
+  const int part_of_fleet = fleet_.in_use() / settings_.gateway_count;
+  const bool is_peer_load_unknown = settings_.gateway_count >= kManyGateways && !fleet_.reports_load;
+  const int extra = is_peer_load_unknown ? kExtraCandidatesWithoutReports : 0;
+  const int count = kMinCandidates + part_of_fleet + extra;
+  return std::size_t(count);
+}
+
+// Takes one endpoint out of the sampler at random, by its effective weight, and returns it; the caller
+// restores its weight. Returns a null endpoint if none is left.
+EndpointPicker::Sample EndpointPicker::draw_sample(const Search& search) {
+  while (true) {
+    const double total = sampler_.total();
+    if (total <= kNegligibleWeightPart * search.total_weight) return {};
+    Endpoint& endpoint = *endpoints_[sampler_.find(random_.uniform() * total)];
+    const double sampled_weight = sampler_.weight(endpoint.slot);
+    if (sampled_weight <= 0) return {};
+    const double weight = effective_weight(search.request.now, endpoint, search.request.mean_latency);
+    // The sampler's weights may be a period old. Rejection sampling corrects one that has fallen since.
+    const bool is_rejected = weight < sampled_weight && random_.uniform() * sampled_weight >= weight;
+    if (!is_rejected) {
+      sampler_.set(endpoint.slot, 0);
+      return {.endpoint = &endpoint, .effective_weight = weight};
+    }
+    sampler_.set(endpoint.slot, weight);
+  }
+}
+
+// Samples without replacement until there are enough candidates. A scan of all endpoints for each attempt
+// would cost more than the requests do in a fleet of thousands.
+std::vector<EndpointPicker::Candidate> EndpointPicker::sample_candidates(Search& search,
+                                                                         const EndpointFilter& is_allowed) {
+  const std::size_t wanted = candidate_count();
+  const std::size_t sample_limit = std::max(kMinSampleLimit, 2 * wanted);
+  std::vector<Candidate> candidates;
+  candidates.reserve(wanted);
+  std::vector<Sample> samples;
+  samples.reserve(wanted);
+  while (candidates.size() < wanted && samples.size() < sample_limit) {
+    const Sample sample = draw_sample(search);
+    if (sample.endpoint == nullptr) break;
+    samples.push_back(sample);
+    // Attempts that sample an endpoint in slow start first arrive at a rate that follows its weight, so they
+    // are not diverted to it; all others are.
+    if (samples.size() == 1 && slow_start_.factor(search.request.now, *sample.endpoint) >= 1) {
+      search.diverted = true;
+    }
+    if (!is_allowed(*sample.endpoint) || !is_eligible(search, sample)) continue;
+    candidates.push_back(make_candidate(search, sample));
+  }
+  for (const Sample& sample : samples) sampler_.set(sample.endpoint->slot, sample.effective_weight);
+  return candidates;
+}
+
+// Looks at all endpoints in use, for an attempt that few of them may get. Takes candidates at random by
+// weight: exponentially distributed keys, with the weights as rates, sort the endpoints in the order of a
+// sample without replacement.
+std::vector<EndpointPicker::Candidate> EndpointPicker::scan(const Search& search,
+                                                            const EndpointFilter& is_allowed) {
+  struct Entry {
+    double key = 0;
+    Endpoint* endpoint = nullptr;
+    double effective_weight = 0;
+    bool operator<(const Entry& other) const {
+      return std::tie(key, endpoint) < std::tie(other.key, other.endpoint);
+    }
+  };
+  const PickRequest& request = search.request;
+  std::vector<Entry> entries;
+  for (Endpoint* endpoint : endpoints_) {
+    if (!endpoint->is_in_use(request.now) || !is_allowed(*endpoint)) continue;
+    const double weight = effective_weight(request.now, *endpoint, request.mean_latency);
+    if (!is_eligible(search, {.endpoint = endpoint, .effective_weight = weight})) continue;
+    const double key = -std::log(1 - random_.uniform()) / weight;
+    entries.push_back({.key = key, .endpoint = endpoint, .effective_weight = weight});
+  }
+  std::sort(entries.begin(), entries.end());
+  entries.resize(std::min(entries.size(), candidate_count()));
+  std::vector<Candidate> candidates;
+  candidates.reserve(entries.size());
+  for (const Entry& entry : entries) {
+    candidates.push_back(
+        make_candidate(search, {.endpoint = entry.endpoint, .effective_weight = entry.effective_weight}));
+  }
+  return candidates;
+}
+
+std::vector<EndpointPicker::Candidate> EndpointPicker::scan_ejected(const Search& search,
+                                                                    const EndpointFilter& is_allowed) const {
+  std::vector<Candidate> candidates;
+  for (Endpoint* endpoint : outlier_ejection_.ejected()) {
+    if (!endpoint->is_available() || !is_allowed(*endpoint)) continue;
+    const double weight = effective_weight(search.request.now, *endpoint, search.request.mean_latency);
+    const Sample sample{.endpoint = endpoint, .effective_weight = weight};
+    if (is_eligible(search, sample)) candidates.push_back(make_candidate(search, sample));
+  }
+  return candidates;
+}
+
+// With many gateways, endpoints in slow start compete only with each other, and the first candidate decides
+// which kind is picked. They cost more than any other endpoint, since hardly a gateway has a connection to
+// them, and would get no requests at all.
+Endpoint* EndpointPicker::least_cost(TimePoint now, const std::vector<Candidate>& candidates) const {
+  if (candidates.empty()) return nullptr;
+  const auto is_in_slow_start = [&](const Candidate& candidate) {
+    return slow_start_.factor(now, *candidate.endpoint) < 1;
+  };
+  const bool has_many_gateways = settings_.gateway_count >= kManyGateways;
+  const bool prefers_slow_start = is_in_slow_start(candidates.front());
+  const Candidate* best = nullptr;
+  for (const Candidate& candidate : candidates) {
+    if (has_many_gateways && is_in_slow_start(candidate) != prefers_slow_start) continue;
+    if (best == nullptr || candidate.cost < best->cost) best = &candidate;
+  }
+  return best->endpoint;
+}
+
+}  // namespace quota_gateway::decision
--- /dev/null
+++ b/src/decision/endpoints/relative_latency.cpp
@@ -0,0 +1,47 @@
+#include "decision/endpoints/relative_latency.hpp"
+
+#include <algorithm>
+
+#include "decision/endpoints/attempt_report.hpp"
+#include "decision/latency_estimates.hpp"
+#include "decision/numeric.hpp"
+
+namespace quota_gateway::decision {
+namespace {
+
+// Time constant of the latency samples. Their decay lets a slow endpoint get requests again little by little.
+constexpr Duration kLatencyTimeConstant = 4'000'000;  // us
+
+// An endpoint without a response for this many mean latencies counts as slower than average.
+constexpr double kUnresponsiveMeans = 3;
+
+// The latency ratio that an error counts for, since its request has to be sent again. An endpoint that fails
+// all requests responds fastest, and by its true latency would attract the whole load.
+constexpr double kErrorLatencyRatio = 10;
+
+}  // namespace
+
+void record_latency(TimePoint now, Endpoint& endpoint, const AttemptReport& report) {
+  const bool is_error = report.outcome == Outcome::kError;
+  if (!is_error && !report.has_load_dependent_latency()) return;
+  const double decay = endpoint.latency_ratio_weight > 0
+                           ? exponential_decay(now - endpoint.latency_sampled_at, kLatencyTimeConstant)
+                           : 0;
+  const double ratio = is_error ? kErrorLatencyRatio : report.time_over_expected;
+  endpoint.latency_ratio_sum = endpoint.latency_ratio_sum * decay + ratio;
+  endpoint.latency_ratio_weight = endpoint.latency_ratio_weight * decay + 1;
+  endpoint.latency_sampled_at = now;
+}
+
+double relative_latency(TimePoint now, const Endpoint& endpoint, double mean_latency) {
+  double ratio = 1;
+  if (endpoint.latency_ratio_weight > 0) {
+    const double decay = exponential_decay(now - endpoint.latency_sampled_at, kLatencyTimeConstant);
+    ratio = (endpoint.latency_ratio_sum * decay + kPriorSamples) /
+            (endpoint.latency_ratio_weight * decay + kPriorSamples);
+  }
+  if (endpoint.out == 0 || mean_latency <= 0) return ratio;
+  return std::max(ratio, double(now - endpoint.busy_since) / (kUnresponsiveMeans * mean_latency));
+}
+
+}  // namespace quota_gateway::decision
