--- /dev/null
+++ b/src/decision/admission.cpp
@@ -0,0 +1,118 @@
+#include "decision/admission.hpp"
+
+#include <algorithm>
+#include <string>
+#include <vector>
+
+#include "decision/numeric.hpp"
+
+namespace quota_gateway::decision {
+
+void Admission::on_request(const RequestArrived& event, Request& request) {
+  if (should_await_total(event, request))
+    await_total(request);
+  else
+    decide(request);
+}
+
+// Where each of many gateways sees a customer only now and then, none would know a total when it needs one.
+// Therefore the first request waits for it.
+bool Admission::should_await_total(const RequestArrived& event, Request& request) {
+  if (is_suspended_) return false;
+  const bool total_expected =
+      modules_.slices.sync_if_due(context_.now(), event.customer, *request.customer, context_.actions());
+  const Settings& settings = context_.settings();
+  return total_expected && event.deadline - context_.now() > settings.counter_timeout + 2 * settings.tick;
+}
+
+void Admission::await_total(Request& request) {
+  request.state = RequestState::kAwaitingTotal;
+  request.customer->requests_awaiting_total.push_back(request.id);
+  const Settings& settings = context_.settings();
+  modules_.requests.schedule(
+      context_.now() + settings.counter_timeout + settings.tick,
+      {.request_id = request.id, .purpose = RequestTimer::Purpose::kDecideWithoutTotal});
+}
+
+void Admission::on_counter_reply(const CounterReply& event) {
+  CustomerQuota* customer = modules_.slices.on_counter_reply(context_.now(), event);
+  if (customer == nullptr) return;
+  std::vector<std::string> waiting;
+  waiting.swap(customer->requests_awaiting_total);
+  for (const std::string& id : waiting) {
+    Request* request = modules_.requests.find(id);
+    if (request != nullptr && request->state == RequestState::kAwaitingTotal) decide(*request);
+  }
+}
+
+void Admission::on_total_timeout(Request& request) {
+  if (request.state == RequestState::kAwaitingTotal) decide(request);
+}
+
+void Admission::decide(Request& request) {
+  request.state = RequestState::kActive;
+  if (is_suspended_) {
+    modules_.completion.reject(request, context_.settings().tick);
+    modules_.requests.erase_if_complete(request);
+    return;
+  }
+  const LimitCheck limits = check_limits(request);
+  const bool excess_allowed = is_excess_allowed(*request.customer->plan);
+  if (limits.hard_limit && (limits.within_quota() || excess_allowed))
+    admit(request, limits.within_quota());
+  else
+    reject(request, limits);
+}
+
+Admission::LimitCheck Admission::check_limits(Request& request) {
+  CustomerQuota& customer = *request.customer;
+  modules_.slices.advance(context_.now(), customer);
+  // All limits are checked each time: a check may draw a random number or refill a bucket.
+  LimitCheck limits;
+  limits.slice = modules_.slices.has_tokens(customer, request.quota_units);
+  limits.concurrency_cap = concurrency_cap_allows(customer);
+  limits.hard_limit = hard_limit_allows(context_.now(), customer, request.units);
+  return limits;
+}
+
+// A plan whose excess requests earn more than they cost may use capacity that nobody else needs.
+bool Admission::is_excess_allowed(const PlanSettings& plan) {
+  return plan.excess_weight > plan.excess_cost && modules_.dispatcher.has_spare_capacity();
+}
+
+void Admission::admit(Request& request, bool within_quota) {
+  request.is_excess = !within_quota;
+  if (within_quota) modules_.slices.consume(*request.customer, request.quota_units);
+  if (modules_.dispatcher.send(request)) return;
+  if (within_quota) {
+    modules_.queue.enqueue(request);
+    return;
+  }
+  modules_.completion.give_final_response(request);
+  modules_.requests.erase_if_complete(request);
+}
+
+void Admission::reject(Request& request, const LimitCheck& limits) {
+  RejectionReason reason = RejectionReason::kSlice;
+  if (!limits.concurrency_cap) reason = RejectionReason::kConcurrencyCap;
+  if (!limits.hard_limit) reason = RejectionReason::kHardLimit;
+  modules_.rejections.count(reason);
+  const Duration retry_after = modules_.slices.retry_after(time_until_admissible(request, limits),
+                                                           request.request_class->latency_objective);
+  modules_.completion.reject(request, retry_after);
+  modules_.requests.erase_if_complete(request);
+}
+
+// Seconds until every limit that is exceeded now has room. With the time of one limit alone, the client would
+// be told to come back before the others have room.
+double Admission::time_until_admissible(const Request& request, const LimitCheck& limits) const {
+  const CustomerQuota& customer = *request.customer;
+  double wait = 0;
+  if (!limits.hard_limit) wait = std::max(wait, time_until_hard_limit_allows(customer, request.units));
+  if (!limits.concurrency_cap) wait = std::max(wait, request.expected_latency / kMicrosPerSecond);
+  if (!limits.slice)
+    wait = std::max(wait, modules_.slices.time_until_available(customer, request.quota_units));
+  return wait;
+}
+
+}  // namespace quota_gateway::decision
--- /dev/null
+++ b/src/decision/admission.hpp
@@ -0,0 +1,66 @@
+// Admission control: whether a request is forwarded within its customer's quota, forwarded beyond it, or
+// rejected.
+#pragma once
+
+#include "decision/admission_queue.hpp"
+#include "decision/attempt_dispatcher.hpp"
+#include "decision/decision_context.hpp"
+#include "decision/quota/quota_slices.hpp"
+#include "decision/rejection_log.hpp"
+#include "decision/request_completion.hpp"
+#include "decision/request_state.hpp"
+#include "quota_gateway/events.hpp"
+
+namespace quota_gateway::decision {
+
+// The modules that admission works with.
+struct AdmissionDependencies {
+  RequestTable& requests;
+  QuotaSlices& slices;
+  AttemptDispatcher& dispatcher;
+  AdmissionQueue& queue;
+  RequestCompletion& completion;
+  RejectionLog& rejections;
+};
+
+class Admission {
+ public:
+  Admission(DecisionContext& context, const AdmissionDependencies& dependencies)
+      : context_(context), modules_(dependencies) {}
+
+  // Decides on a new request, at once or when the first counter total of its customer is known.
+  void on_request(const RequestArrived& event, Request& request);
+  // Decides on the requests that await the total of the reply.
+  void on_counter_reply(const CounterReply& event);
+  // Decides on a request without the total, which has not come in time.
+  void on_total_timeout(Request& request);
+
+  // While suspended, all requests are rejected: another process admits from these slices.
+  void suspend() { is_suspended_ = true; }
+  void resume() { is_suspended_ = false; }
+  [[nodiscard]] bool is_suspended() const { return is_suspended_; }
+
+ private:
+  // Which limits have room for a request.
+  struct LimitCheck {
+    bool slice = false;
+    bool concurrency_cap = false;
+    bool hard_limit = false;
+    [[nodiscard]] bool within_quota() const { return slice && concurrency_cap; }
+  };
+
+  bool should_await_total(const RequestArrived& event, Request& request);
+  void await_total(Request& request);
+  void decide(Request& request);
+  [[nodiscard]] LimitCheck check_limits(Request& request);
+  [[nodiscard]] bool is_excess_allowed(const PlanSettings& plan);
+  void admit(Request& request, bool within_quota);
+  void reject(Request& request, const LimitCheck& limits);
+  [[nodiscard]] double time_until_admissible(const Request& request, const LimitCheck& limits) const;
+
+  DecisionContext& context_;
+  AdmissionDependencies modules_;
+  bool is_suspended_ = false;
+};
+
+}  // namespace quota_gateway::decision
--- /dev/null
+++ b/src/decision/attempt_results.cpp
@@ -0,0 +1,38 @@
+#include "decision/attempt_results.hpp"
+
+#include <algorithm>
+
+namespace quota_gateway::decision {
+namespace {
+
+AttemptReport make_report(const Request& request, const Attempt& attempt, const AttemptResult& result,
+                          double mean_latency) {
+  // The duration that was reported counts, not the clock: after a pause of the gateway the two differ.
+  const auto duration = double(result.duration);
+  const auto objective = double(std::max<Duration>(1, request.request_class->latency_objective));
+  return {.outcome = result.outcome,
+          .time_over_expected = duration / request.expected_latency,
+          .time_over_objective = duration / objective * mean_latency / request.expected_latency,
+          .mean_time = mean_latency,
+          .stalled = attempt.cancelled_as_stalled,
+          .load = result.load};
+}
+
+}  // namespace
+
+AttemptResults::AttemptResults(DecisionContext& context, QuotaSlices& slices, EndpointPool& endpoints,
+                               LatencyModel& latencies, RateLimitedLog& log)
+    : context_(context), slices_(slices), endpoints_(endpoints), latencies_(latencies), log_(log) {}
+
+void AttemptResults::record(const Request& request, const Attempt& attempt, const AttemptResult& result) {
+  if (result.outcome == Outcome::kOk) latencies_.record_latency(*request.request_class, result.duration);
+  const double mean_latency = latencies_.mean_latency(*request.request_class);
+  const AttemptReport report = make_report(request, attempt, result, mean_latency);
+  if (endpoints_.on_attempt_ended(context_.now(), *attempt.endpoint, report))
+    log_.write(LogKind::kEndpointEjected,
+               "endpoints: " + attempt.endpoint->entry.endpoint + " ejected: consecutive failures");
+  if (context_.settings().settles_units_later && result.billed_units > 0 && !request.is_excess)
+    slices_.consume(*request.customer, result.billed_units - request.units);
+}
+
+}  // namespace quota_gateway::decision
--- a/src/decision/latency_estimates.hpp
+++ b/src/decision/latency_estimates.hpp
@@ -1,9 +1,13 @@
-// What is assumed of answer times until enough answers tell.
+// What is assumed about latency before enough responses have been observed.
 #pragma once
 
 namespace quota_gateway::decision {
 
-constexpr double kPriorSamples = 8;  // answers' worth of "as good as its peers" behind each estimate
-constexpr double kIdleLatencyFraction = 1.0 / 6;  // of a class's aim: its answer time, until answers tell
+// Weight of the prior assumption behind each latency estimate, counted in responses. It keeps the first few
+// responses from dominating the estimate.
+constexpr double kPriorSamples = 8;
+
+// The prior mean latency of a request class, as a fraction of its latency objective.
+constexpr double kIdleLatencyFraction = 1.0 / 6;
 
 }  // namespace quota_gateway::decision
--- /dev/null
+++ b/src/decision/rejection_log.hpp
@@ -0,0 +1,34 @@
+// Counts of the requests that got no response from an endpoint, by reason.
+#pragma once
+
+#include <map>
+
+#include "decision/decision_context.hpp"
+#include "quota_gateway/time.hpp"
+
+namespace quota_gateway::decision {
+
+enum class RejectionReason {
+  kSlice,             // beyond this gateway's slice of the quota
+  kConcurrencyCap,    // too many attempts of the customer in flight
+  kHardLimit,         // beyond the hard limit, which excess requests must keep too
+  kNoCapacity,        // no endpoint had capacity in time
+  kAttemptsExhausted  // sent, but no endpoint responded
+};
+
+// Reports the counts since its last report in one log line.
+class RejectionLog {
+ public:
+  explicit RejectionLog(DecisionContext& context) : context_(context) {}
+
+  void count(RejectionReason reason) { ++counts_[reason]; }
+  // Writes the line if there is something to report and the last one is old enough.
+  void report_if_due();
+
+ private:
+  DecisionContext& context_;
+  std::map<RejectionReason, int> counts_;
+  TimePoint reported_at_ = 0;
+};
+
+}  // namespace quota_gateway::decision
--- /dev/null
+++ b/src/decision/request_completion.cpp
@@ -0,0 +1,34 @@
+#include "decision/request_completion.hpp"
+
+#include <cstddef>
+
+#include "decision/retry_policy.hpp"
+
+namespace quota_gateway::decision {
+
+void RequestCompletion::reject(Request& request, Duration retry_after) {
+  context_.emit(RejectRequest{request.id, retry_after});
+  finish(request);
+}
+
+void RequestCompletion::give_final_response(Request& request) {
+  if (request.is_finished()) return;
+  rejections_.count(request.attempts.empty() ? RejectionReason::kNoCapacity
+                                             : RejectionReason::kAttemptsExhausted);
+  if (is_rejection_safe(request)) {
+    const auto retry_after = Duration(latencies_.mean_latency(*request.request_class));
+    context_.emit(RejectRequest{request.id, retry_after});
+  } else {
+    context_.emit(FailRequest{request.id});
+  }
+  finish(request);
+}
+
+void RequestCompletion::finish(Request& request) {
+  request.state = RequestState::kFinished;
+  if (!context_.settings().allow_cancel || request.request_class->streamed) return;
+  for (std::size_t i = 0; i < request.attempts.size(); ++i)
+    if (request.attempts[i].in_flight) context_.emit(CancelAttempt{request.id, int(i)});
+}
+
+}  // namespace quota_gateway::decision
