--- a/include/quota_gateway/events.hpp
+++ b/include/quota_gateway/events.hpp
@@ -1,4 +1,4 @@
-// What the decision engine is told. Plain data only.
+// The events that the decision engine reacts to. Plain data only.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 enum class EndpointState { kUp, kDraining, kRemoved };
 
-// One endpoint (a booking server) in the endpoint list.
+// One endpoint in the endpoint list.
 struct EndpointEntry {
   std::string endpoint;
   std::string zone;
@@ -22,10 +22,10 @@
   std::int64_t cell = 0;
   EndpointState state = EndpointState::kUp;
   double weight = 1;
-  TimePoint started_at = 0;  // by the wall clock; 0: long ago
+  TimePoint started_at = 0;  // by the wall clock; 0: not recently
 };
 
-// What an endpoint reported of its load; below 0: not reported.
+// The load that an endpoint reported; a negative value was not reported.
 struct LoadReport {
   double in_flight = -1;
   double queued = -1;
@@ -47,29 +47,31 @@
   kNotSent         // never executed
 };
 
-// A new endpoint list, or changes to the last one.
+// A new endpoint list, or changes to the last one. kPersisted: the list that was stored before a restart;
+// kError: the subscription failed.
 struct EndpointListUpdate {
   enum class Kind { kPartial, kComplete, kPersisted, kError } kind = Kind::kComplete;
   std::vector<EndpointEntry> entries;
 };
 
-// An operator disabled an endpoint or enabled it again; may be repeated. Binds whatever the list says.
+// An operator disabled an endpoint or enabled it again; may be repeated. It overrides the endpoint list.
 struct AdminStateChanged {
   std::string endpoint;
   bool disabled = false;
 };
 
+// A client's request, which needs exactly one final response.
 struct RequestArrived {
   std::string id;
   std::string customer;
   std::string plan;
   std::string request_class;
   double units = 1;
-  TimePoint deadline = 0;       // when the client gives this request up
-  int gateway_set_size = 1;     // gateways through which this customer may come
-  int first_gateway_index = 0;  // of that set; the others follow, counted round
+  TimePoint deadline = 0;       // the client's, over all attempts
+  int gateway_set_size = 1;     // gateways that this customer may use
+  int first_gateway_index = 0;  // of that set; the others follow, modulo the number of gateways
   bool client_retry = false;
-  bool body_pending = false;  // its body is still to come, and `deadline` with it
+  bool body_pending = false;  // RequestBodyCompleted will follow with the final deadline
 };
 
 // All of a request whose body was pending has arrived.
@@ -84,10 +86,11 @@
   int attempt = 0;
   std::string endpoint;
   Duration duration = 0;
-  double billed_units = 0;  // as of AttemptEnded
+  double billed_units = 0;  // as in AttemptEnded
   LoadReport load;
 };
 
+// An attempt has ended: its response is complete, it failed, or it was cancelled.
 struct AttemptEnded {
   std::string id;
   int attempt = 0;
@@ -95,21 +98,23 @@
   Outcome outcome = Outcome::kOk;
   Duration duration = 0;
   bool request_finished = false;  // the client has its final response
-  int quota_meter = 0;            // 1 + percent of its quota that the customer used; 0: not reported
+  int quota_meter = 0;            // 1 + percent of the quota that its customer used; 0: not reported
   double billed_units = 0;        // true units, where units are settled later
   LoadReport load;
-  bool replayable = true;  // else its body has been forwarded and is no longer buffered
+  bool replayable = true;  // false: its body has been forwarded and is no longer buffered
 };
 
-// The client has disconnected or given up.
+// The client has disconnected or timed out.
 struct RequestCancelled {
   std::string id;
 };
 
+// A timer of SetTimer is due.
 struct TimerFired {
   std::int64_t token = 0;
 };
 
+// The result of a SendProbe.
 struct ProbeEnded {
   std::string endpoint;
   Outcome outcome = Outcome::kOk;
@@ -117,7 +122,11 @@
   LoadReport load;
 };
 
-enum class CounterOutcome { kOk, kNotAdded, kUnknown };
+enum class CounterOutcome {
+  kOk,
+  kNotAdded,  // the counter service rejected the increment, or could not be reached
+  kUnknown    // no reply in time: the amount may have been added
+};
 
 // The reply to an IncrementCounter, or its failure.
 struct CounterReply {
@@ -128,13 +137,13 @@
 };
 
 // The wall clock, by which endpoints report their starts and gateways name their counters, is `offset` ahead
-// of the clock by which events are reported. Until this comes the two are the same.
+// of the clock by which events are reported. Before the first of these events the two are equal.
 struct WallClockStepped {
   Duration offset = 0;
 };
 
-// What a process passes to the one that replaces it. The values stand in a fixed order; a list of another
-// length was written by another build and is ignored.
+// The state that a process passes to the one that replaces it. The values are in a fixed order; a list of
+// another length was written by another build and is ignored.
 struct HotRestartState {
   using Values = std::vector<double>;
   std::map<std::string, std::pair<std::string, Values>> customers;  // with the name of their plan
@@ -142,17 +151,17 @@
   Values fleet;
 };
 
-// This process replaces another one, and continues from its state.
+// This process replaces another one and continues from its state.
 struct StateRestored {
   HotRestartState state;
 };
 
-// Attempts of each customer that the process before this one still has in flight.
+// Attempts that the predecessor of this process still has in flight, by customer.
 struct PredecessorAttempts {
   std::map<std::string, int> in_flight;
 };
 
-// The process that was to replace this one has ended.
+// The process that was to replace this one has ended. This one continues to admit requests.
 struct HotRestartAborted {};
 
 using Event =
--- a/include/quota_gateway/settings.hpp
+++ b/include/quota_gateway/settings.hpp
@@ -1,4 +1,4 @@
-// What a gateway is configured with: request classes, service plans and the limits that it must keep.
+// The configuration of a gateway: request classes, service plans and the limits that it must keep.
 #pragma once
 
 #include <string>
@@ -17,13 +17,13 @@
 // One class of requests.
 struct ClassSettings {
   std::string name;
-  Duration latency_objective = 1'000'000;  // a response within it earns the full weight
-  Duration client_timeout = 4'000'000;     // how long a client waits, over all attempts
+  Duration latency_objective = 1'000'000;  // a response within it earns the full priority weight
+  Duration client_timeout = 4'000'000;     // over all attempts
   double priority_weight = 1;
   double late_weight = 0;  // part of the weight earned after the objective but before the deadline
   Idempotency idempotency = Idempotency::kNonIdempotent;
   DedupScope dedup_scope = DedupScope::kCell;
-  Duration dedup_window = 0;  // how long duplicates with the same idempotency key are recognised
+  Duration dedup_window = 0;  // for this long an endpoint recognises an idempotency key
   bool streamed = false;
 };
 
@@ -33,7 +33,7 @@
   double rate = 0;  // units a second
   double burst = 0;
   int max_concurrent_attempts = 0;
-  double hard_limit_rate = 0;  // units a second that may be forwarded, inside the quota or not
+  double hard_limit_rate = 0;  // units a second that may be forwarded, within the quota or beyond it
   double hard_limit_burst = 0;
   double hard_limit_slack = 0;
   double priority_factor = 1;
@@ -53,7 +53,7 @@
   Duration counter_timeout = 50'000;
   Duration metering_period = 0;  // 0: no metering
   double max_request_units = 1;
-  bool settles_units_later = false;  // units are an estimate until the first successful response
+  bool settles_units_later = false;  // the units of a request are an estimate until an endpoint bills it
   int max_attempts = 1;
   Duration connect_timeout = 0;
   bool allow_probes = false;
