--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -51,11 +51,14 @@
 
 void Admission::decide(Request& request) {
   request.state = RequestState::kActive;
-  if (is_suspended_) {
+  if (is_suspended_)
     modules_.completion.reject(request, context_.settings().tick);
-    modules_.requests.erase_if_complete(request);
-    return;
-  }
+  else
+    admit_or_reject(request);
+  modules_.requests.erase_if_complete(request);
+}
+
+void Admission::admit_or_reject(Request& request) {
   const LimitCheck limits = check_limits(request);
   const bool excess_allowed = is_excess_allowed(*request.customer->plan);
   if (limits.hard_limit && (limits.within_quota() || excess_allowed))
@@ -84,12 +87,11 @@
   request.is_excess = !within_quota;
   if (within_quota) modules_.slices.consume(*request.customer, request.quota_units);
   if (modules_.dispatcher.send(request)) return;
-  if (within_quota) {
+  // Excess requests are only for capacity that is free at once.
+  if (within_quota)
     modules_.queue.enqueue(request);
-    return;
-  }
-  modules_.completion.give_final_response(request);
-  modules_.requests.erase_if_complete(request);
+  else
+    modules_.completion.give_final_response(request);
 }
 
 void Admission::reject(Request& request, const LimitCheck& limits) {
@@ -100,11 +102,10 @@
   const Duration retry_after = modules_.slices.retry_after(time_until_admissible(request, limits),
                                                            request.request_class->latency_objective);
   modules_.completion.reject(request, retry_after);
-  modules_.requests.erase_if_complete(request);
 }
 
 // Seconds until every limit that is exceeded now has room. With the time of one limit alone, the client would
-// be told to come back before the others have room.
+// be asked to return before the others have room.
 double Admission::time_until_admissible(const Request& request, const LimitCheck& limits) const {
   const CustomerQuota& customer = *request.customer;
   double wait = 0;
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -23,6 +23,7 @@
   RejectionLog& rejections;
 };
 
+// Decides on each request once. A request within the quota that finds no endpoint capacity is queued.
 class Admission {
  public:
   Admission(DecisionContext& context, const AdmissionDependencies& dependencies)
@@ -52,6 +53,7 @@
   bool should_await_total(const RequestArrived& event, Request& request);
   void await_total(Request& request);
   void decide(Request& request);
+  void admit_or_reject(Request& request);
   [[nodiscard]] LimitCheck check_limits(Request& request);
   [[nodiscard]] bool is_excess_allowed(const PlanSettings& plan);
   void admit(Request& request, bool within_quota);
--- a/src/decision/attempt_dispatcher.cpp
+++ b/src/decision/attempt_dispatcher.cpp
@@ -7,10 +7,10 @@
 namespace quota_gateway::decision {
 namespace {
 
-constexpr double kSlowCheckFactor = 7;  // expected latencies until an attempt is checked for slowness
-constexpr double kSpareUtilization = 0.25;
+constexpr double kSlowCheckFactor = 7;      // expected latencies until an attempt is checked for slowness
+constexpr double kSpareUtilization = 0.25;  // of the capacity; below it, capacity is to spare
 
-// Seconds of an endpoint's time.
+// In seconds of an endpoint's time.
 double expected_work(const Request& request) { return request.expected_latency / kMicrosPerSecond; }
 
 }  // namespace
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -51,6 +51,7 @@
 
 }  // namespace
 
+// Owns the modules. Each one refers only to modules that are declared before it.
 class DecisionEngine::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed);
@@ -146,7 +147,7 @@
 void DecisionEngine::Impl::on_period() {
   endpoints_.on_period(context_.now());
   rejections_.report_if_due();
-  // After the hand-over, the successor accounts for the use of the slices.
+  // Once the state has been passed on, the successor accounts for the use of the slices.
   if (!admission_.is_suspended()) slices_.on_period(context_.now(), context_.actions());
   // A batch that comes late skips periods.
   next_period_at_ = std::max(next_period_at_ + decision::kPeriod, context_.now());
@@ -223,7 +224,7 @@
     if (plan != nullptr) slices_.restore_customer(name, *plan, values);
   }
   for (const auto& [name, values] : event.state.endpoints) endpoints_.restore_endpoint(name, values);
-  decision::deserialize_fields(*this, event.state.fleet);
+  decision::deserialize_fields(*this, event.state.fleet);  // ignores the state of another build
 }
 
 HotRestartState DecisionEngine::Impl::begin_hot_restart() {
@@ -232,7 +233,8 @@
   slices_.save_state(state);
   endpoints_.save_state(state);
   state.fleet = decision::serialize_fields(*this);
-  // This process will still send the requests in its queue, which the successor must not admit once more.
+  // This process will still send the requests in its queue, so the successor must not use their part of the
+  // hard limit.
   for (const decision::Request* request : queue_.unsent_requests())
     for (auto& [name, plan_and_values] : state.customers)
       if (slices_.find(name) == request->customer) charge_hard_limit(plan_and_values.second, request->units);
--- a/src/decision/request_state.hpp
+++ b/src/decision/request_state.hpp
@@ -26,12 +26,13 @@
 };
 
 enum class RequestState {
-  kAwaitingTotal,  // for the first counter total of its customer, before admission
-  kActive,
-  kQueued,   // admitted, waits for endpoint capacity
-  kFinished  // has its final response; attempts may still be in flight
+  kAwaitingTotal,  // not decided on before the first counter total of its customer is known
+  kActive,         // being decided on, or in flight
+  kQueued,         // admitted, waits for endpoint capacity
+  kFinished        // has its final response; attempts may still be in flight
 };
 
+// A client's request from its arrival until its last attempt has ended.
 struct Request {
   std::string id;
   const ClassSettings* request_class = nullptr;
@@ -75,12 +76,14 @@
  public:
   explicit RequestTable(DecisionContext& context) : context_(context) {}
 
+  // Ids are unique among the requests in the table; one that is in it already is not created anew.
   Request& find_or_create(const std::string& id);
   // Null if there is no such request.
   [[nodiscard]] Request* find(const std::string& id);
   // Erases a request that has its final response and no attempt in flight.
   void erase_if_complete(const Request& request);
 
+  // Emits the action for a timer that is due at `at`.
   void schedule(TimePoint at, RequestTimer timer);
   // Removes the timer of this token and returns it, if there is one.
   std::optional<RequestTimer> remove_timer(std::int64_t token);
--- a/src/decision/retry_handler.hpp
+++ b/src/decision/retry_handler.hpp
@@ -10,6 +10,7 @@
 
 namespace quota_gateway::decision {
 
+// Within the retry budget, and by the rules of retry_policy.
 class RetryHandler {
  public:
   RetryHandler(DecisionContext& context, AttemptDispatcher& dispatcher, AdmissionQueue& queue,
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -17,7 +17,7 @@
 // Whether the next attempt of the request may go to the endpoint without a risk of a second effect.
 bool is_attempt_allowed(const DecisionContext& context, const Request& request, const Endpoint& endpoint);
 
-// Whether the client may be told that the request was rejected, which invites it to send the request again.
+// Whether the final response may be a rejection, which invites the client to send the request again.
 bool is_rejection_safe(const Request& request);
 
 }  // namespace quota_gateway::decision
