--- a/src/restart/atomic_file.cpp
+++ b/src/restart/atomic_file.cpp
@@ -5,52 +5,71 @@
 
 #include <cerrno>
 #include <cstdio>
+#include <fstream>
+#include <iterator>
 #include <string_view>
 
+#include "restart/file_descriptor.hpp"
+
 namespace quota_gateway::net {
 namespace {
 
-bool write_whole(int file, std::string_view text) {
-  while (!text.empty()) {
-    const ssize_t size = ::write(file, text.data(), text.size());
+constexpr mode_t kFileMode = 0600;
+
+std::error_code last_error() { return {errno, std::generic_category()}; }
+
+std::error_code write_all(const FileDescriptor& file, std::string_view content) {
+  while (!content.empty()) {
+    const ssize_t size = ::write(file.get(), content.data(), content.size());
     if (size < 0 && errno == EINTR) continue;
-    if (size <= 0) return false;
-    text.remove_prefix(std::size_t(size));
+    if (size < 0) return last_error();
+    if (size == 0) return std::make_error_code(std::errc::io_error);
+    content.remove_prefix(std::size_t(size));
   }
-  return true;
+  return {};
 }
 
-bool sync(int file) {
-  int result = 0;
-  do result = ::fsync(file);
-  while (result != 0 && errno == EINTR);
-  return result == 0;
+std::error_code sync(const FileDescriptor& file) {
+  while (::fsync(file.get()) != 0) {
+    if (errno != EINTR) return last_error();
+  }
+  return {};
 }
 
-// A new name is on disk once its directory is.
-bool sync_directory_of(const std::string& path) {
+// A new directory entry is durable once its directory has been synchronised.
+std::error_code sync_directory_of(const std::string& path) {
   const std::string directory = path.substr(0, path.rfind('/') + 1);
-  const int file = ::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (file < 0) return false;
-  const bool synced = sync(file);
-  ::close(file);
-  return synced;
+  const FileDescriptor file(::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  if (!file.is_open()) return last_error();
+  return sync(file);
+}
+
+std::error_code write_file(const std::string& path, const std::string& content, Durability durability) {
+  FileDescriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
+  if (!file.is_open()) return last_error();
+  std::error_code error = write_all(file, content);
+  if (!error && durability == Durability::kDurable) error = sync(file);
+  if (!file.close() && !error) error = last_error();
+  return error;
 }
 
 }  // namespace
 
-bool replace_file(const std::string& path, const std::string& text, Durability durability) {
-  const bool durable = durability == Durability::kDurable;
-  const std::string fresh = path + "." + std::to_string(::getpid());
-  const int file = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-  if (file < 0) return false;
-  bool written = write_whole(file, text) && (!durable || sync(file));
-  written = ::close(file) == 0 && written;
-  if (!written || ::rename(fresh.c_str(), path.c_str()) != 0) {
-    ::unlink(fresh.c_str());
-    return false;
+std::error_code replace_file(const std::string& path, const std::string& content, Durability durability) {
+  const std::string temporary = path + "." + std::to_string(::getpid());
+  std::error_code error = write_file(temporary, content, durability);
+  if (!error && std::rename(temporary.c_str(), path.c_str()) != 0) error = last_error();
+  if (error) {
+    ::unlink(temporary.c_str());
+    return error;
   }
-  return !durable || sync_directory_of(path);
+  if (durability == Durability::kDurable) return sync_directory_of(path);
+  return {};
+}
+
+std::string read_file(const std::string& path) {
+  std::ifstream file(path);
+  return {std::istreambuf_iterator<char>(file), {}};
 }
 
 }  // namespace quota_gateway::net
--- a/src/restart/hot_restart.hpp
+++ b/src/restart/hot_restart.hpp
@@ -1,88 +1,77 @@
-// What a process inherits from the platform and from the process that it replaces.
+// Hot restart: a running gateway process hands its state and its clients to the process that replaces it.
 #pragma once
 
 #include <functional>
-#include <map>
-#include <memory>
 #include <optional>
-#include <set>
 #include <string>
+#include <system_error>
 
-#include "quota_gateway/decision_engine.hpp"
+#include "quota_gateway/events.hpp"
+#include "quota_gateway/time.hpp"
+#include "restart/liveness_lock.hpp"
+#include "restart/state_file.hpp"
 #include "runtime/timers.hpp"
 
 namespace quota_gateway::net {
 
-// The time that the process that serves by this directory tells, as an offset to the steady clock; none if
-// there is no such process. Its successor goes on by it, so that what it hands over keeps its meaning.
-std::optional<Micros> predecessor_clock_offset(const std::string& directory);
+// The offset from the steady clock to the clock of the process that serves from `directory`; no value if
+// there is no such process. Its successor continues that clock, so that the instants in the restored state
+// keep their meaning.
+[[nodiscard]] std::optional<Duration> predecessor_clock_offset(const std::string& directory);
 
-// The listening socket that $RELAY_LISTEN_FD names; none if it is not set or names no such socket.
-std::optional<int> inherited_listener();
-
-// The servers that staff took out, kept in a file so that they stay out over a restart, and watched so that
-// they are out for both processes of an upgrade. Danger: a file that is missing or torn changes nothing.
-class DisabledEndpoints {
- public:
-  using ChangeCallback = std::function<void(const std::string& server, bool disabled)>;
-  // Without a directory they last as long as the process.
-  DisabledEndpoints(Timers& timers, const std::string& directory, ChangeCallback on_change);
-  void start();
-  // Calls `done` once this is in effect and kept, or with false if it could not be kept.
-  using Done = std::function<void(bool kept)>;
-  void set(const std::string& server, bool disabled, Done done);
-  [[nodiscard]] bool contains(const std::string& server) const { return servers_.count(server) > 0; }
-
- private:
-  void set(const std::string& server, bool disabled, Done done, Micros until);
-  void load();
-  bool keep(const std::set<std::string>& servers);
-  void watch();
-
-  Timers& timers_;
-  const std::string path_;  // empty: none
-  const ChangeCallback on_change_;
-  std::set<std::string> servers_;
-  std::string seen_;  // the file when last read
-};
-
-// Passes the gateway from one process to the next through files in their shared directory. Danger: any of
-// them may be missing, torn or left by a process long gone; then a process starts from nothing, as after a
-// crash.
+// The protocol between two processes, which runs over files in their shared directory:
+// - A new process writes its token to owner.json. Its predecessor finds it there, stops to accept clients and
+//   stores its state in state.json. The new process reads this and starts to serve.
+// - The predecessor reports its remaining attempts in open.json until there are none.
+// - If the successor ends, the predecessor claims owner.json again and continues to serve.
+// Where the files of a predecessor cannot be used, a process starts without restored state, as after a crash.
 class HotRestart {
  public:
   struct Callbacks {
-    std::function<void(const HotRestartState*)> on_start;            // take clients now; none: from nothing
-    std::function<HotRestartState()> begin;                          // a successor is there
-    std::function<std::map<std::string, int>()> attempts_in_flight;  // attempts out, by customer
-    std::function<void(const std::map<std::string, int>&)> on_predecessor_attempts;  // its attempts out
-    std::function<void()> on_aborted;                                                // the successor is gone
+    // This process may accept clients now, from the restored state if there is one, else null.
+    std::function<void(const HotRestartState*)> on_start;
+    // A successor is there: stop to accept clients and return the state for it.
+    std::function<HotRestartState()> begin;
+    // Attempts that this process still has in flight, by customer.
+    std::function<AttemptCounts()> attempts_in_flight;
+    // Attempts that the predecessor still has in flight, by customer.
+    std::function<void(const AttemptCounts&)> on_predecessor_attempts;
+    // The successor has ended: accept clients again.
+    std::function<void()> on_aborted;
   };
-  // Attempts of the predecessor are forgotten after `longest`.
-  HotRestart(Timers& timers, const Clock& clock, std::string directory, Micros longest, Callbacks callbacks);
-  ~HotRestart();
+
+  // Attempts of the predecessor are no longer counted after `max_attempt_duration`.
+  HotRestart(Timers& timers, const Clock& clock, std::string directory, Duration max_attempt_duration,
+             Callbacks callbacks);
+
+  // Claims the directory, and waits for the state of the predecessor if there is one.
   void start();
 
  private:
-  bool claim();
-  void claim_until_told();
+  [[nodiscard]] bool has_successor() const { return !successor_.empty(); }
+  [[nodiscard]] std::error_code claim();
+  void claim_or_retry();
   void await_state();
-  void watch();
-  void tell_state(const std::string& state);
-  void tell_open();
-  void hear_open();
+  void start_without_state();
+  void check_owner();
+  void check_for_successor();
+  void hand_over_to(const std::string& successor);
+  void resume();
+  void write_state_or_retry(const std::string& recipient, const HotRestartState& state);
+  void report_attempts();
+  void check_predecessor_attempts();
 
   Timers& timers_;
   const Clock& clock_;
-  const std::string directory_;
-  const Micros longest_;
+  const StateFiles files_;
+  const Duration max_attempt_duration_;
   const Callbacks callbacks_;
-  const std::string token_;  // this process
-  std::string successor_;    // empty: none
-  int lock_ = -1;            // held as long as this process lives
-  bool claimed_ = false;     // owner.json names this process
-  bool claim_failed_ = false;
-  Micros since_ = 0;  // the claim, or the start
+  const std::string token_;           // names this process
+  std::string successor_;             // names the process that replaces this one; empty: none
+  std::optional<LivenessLock> lock_;  // from the first claim until this process ends
+  bool is_owner_ = false;             // owner.json has named this process since the last claim
+  bool claim_failure_logged_ = false;
+  TimePoint claimed_at_ = 0;  // until the first claim: when this process started
 };
 
 }  // namespace quota_gateway::net
--- a/src/runtime/configuration.cpp
+++ b/src/runtime/configuration.cpp
@@ -1,72 +1,139 @@
-// Reads a gateway's configuration.
+#include "runtime/configuration.hpp"
+
+#include <algorithm>
 #include <charconv>
-#include <stdexcept>
+#include <exception>
 
 #include "adapter/codec.hpp"
-#include "runtime/coordinator.hpp"
 
 namespace quota_gateway::net {
 namespace {
 
+using boost::asio::ip::tcp;
 using nlohmann::json;
 
-[[noreturn]] void bad(const std::string& what) { throw std::runtime_error("configuration: " + what); }
+constexpr std::size_t kLeastSockets = 64;
+
+std::string error_message(const std::string& path, const std::string& reason) {
+  std::string message = "configuration: ";
+  if (!path.empty()) message += path + ": ";
+  return message + reason;
+}
+
+// Returns what `read` returns, and reports its failure as a fault of the value at `path`.
+template <typename Read>
+auto read_at(const std::string& path, Read read) {
+  try {
+    return read();
+  } catch (const std::exception& error) {
+    throw ConfigError(path, error.what());
+  }
+}
+
+bool is_present(const json& document, const char* key) {
+  return document.contains(key) && !document[key].is_null();
+}
+
+std::string required_string(const json& document, const char* key) {
+  const auto value = document.find(key);
+  if (value == document.end() || !value->is_string()) throw ConfigError(key, "must be a string");
+  return value->get<std::string>();
+}
+
+tcp::endpoint required_endpoint(const json& document, const char* key) {
+  const std::string text = required_string(document, key);
+  return read_at(key, [&] { return parse_endpoint(text); });
+}
+
+std::optional<tcp::endpoint> optional_endpoint(const json& document, const char* key) {
+  if (!is_present(document, key)) return std::nullopt;
+  return required_endpoint(document, key);
+}
+
+std::int64_t positive_number(const json& section, const std::string& section_path, const char* key,
+                             std::int64_t fallback) {
+  const std::string path = section_path + "." + key;
+  const std::int64_t value = read_at(path, [&] { return section.value(key, fallback); });
+  if (value <= 0) throw ConfigError(path, "must be above 0");
+  return value;
+}
+
+json optional_section(const json& document, const std::string& path, const char* key) {
+  return read_at(path, [&] { return document.value(key, json::object()); });
+}
 
 std::uint64_t parse_seed(const std::string& text) {
+  constexpr int kHexadecimal = 16;
   std::uint64_t seed = 0;
   const char* end = text.data() + text.size();
-  const auto [stop, ec] = std::from_chars(text.data(), end, seed, 16);
-  if (ec != std::errc() || stop != end) bad("seed is no hex number");
+  const auto [stop, error] = std::from_chars(text.data(), end, seed, kHexadecimal);
+  if (error != std::errc() || stop != end) throw ConfigError("seed", "must be a hexadecimal number");
   return seed;
 }
 
-void check(const Settings& s) {
-  if (s.classes.empty()) bad("settings name no class");
-  if (s.gateway_count < 1 || s.gateway_index < 0 || s.gateway_index >= s.gateway_count)
-    bad("settings: no such position");
-  if (s.max_attempts < 1) bad("settings allow no attempt");
-  for (const ClassSettings& c : s.classes)
-    if (c.client_timeout <= 0) bad("class '" + c.name + "' has no deadline");
+void validate(const Settings& settings) {
+  if (settings.classes.empty()) throw ConfigError("settings.Classes", "must name at least one class");
+  if (settings.gateway_count < 1) throw ConfigError("settings.ReplicasOfMe", "must be above 0");
+  if (settings.gateway_index < 0 || settings.gateway_index >= settings.gateway_count)
+    throw ConfigError("settings.Position", "must be below ReplicasOfMe and not negative");
+  if (settings.max_attempts < 1) throw ConfigError("settings.Limits.MaxAttempts", "must be above 0");
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    if (settings.classes[i].client_timeout <= 0)
+      throw ConfigError("settings.Classes[" + std::to_string(i) + "].GiveUpUs", "must be above 0");
+  }
 }
 
-Micros positive(const json& section, const char* key, Micros fallback) {
-  const Micros value = section.value(key, fallback);
-  if (value <= 0) bad(std::string(key) + " is not above 0");
-  return value;
+void parse_limits(const json& document, Configuration& configuration) {
+  const json limits = optional_section(document, "limits", "limits");
+  const auto positive_limit = [&limits](const char* key, std::size_t fallback) {
+    return std::size_t(positive_number(limits, "limits", key, std::int64_t(fallback)));
+  };
+  configuration.max_sockets = positive_limit("sockets", configuration.max_sockets);
+  configuration.memory_mb = positive_limit("memory_mb", configuration.memory_mb);
+  if (configuration.max_sockets < kLeastSockets)
+    throw ConfigError("limits.sockets", "must be at least " + std::to_string(kLeastSockets));
 }
 
-std::string text(const json& config, const char* key) {
-  const auto it = config.find(key);
-  if (it == config.end() || !it->is_string()) bad(std::string("no text under '") + key + "'");
-  return it->get<std::string>();
+void parse_settings(const json& document, Configuration& configuration) {
+  if (!document.contains("settings")) throw ConfigError("settings", "is missing");
+  const json& settings = document["settings"];
+  configuration.settings = read_at("settings", [&] { return wire::parse_settings(settings); });
+  validate(configuration.settings);
+  const std::string path = "settings.Limits";
+  const json limits = optional_section(settings, path, "Limits");
+  configuration.connection_idle_timeout =
+      positive_number(limits, path, "ConnIdleUs", configuration.connection_idle_timeout);
+  configuration.connect_timeout =
+      positive_number(limits, path, "DialTimeoutUs", configuration.connect_timeout);
 }
 
 }  // namespace
 
-Configuration parse_configuration(const json& config) {
-  if (!config.is_object()) bad("no object");
-  Configuration out;
-  out.name = text(config, "name");
-  out.listen = parse_endpoint(text(config, "listen"));
-  out.discovery = parse_endpoint(text(config, "discovery"));
-  if (config.contains("counter") && !config["counter"].is_null())
-    out.counter = parse_endpoint(text(config, "counter"));
-  if (config.contains("admin_addr") && !config["admin_addr"].is_null())
-    out.admin_address = parse_endpoint(text(config, "admin_addr"));
-  if (config.contains("seed")) out.seed = parse_seed(text(config, "seed"));
-  const json limits = config.value("limits", json::object());
-  out.max_sockets = std::size_t(positive(limits, "sockets", 1024));
-  out.memory_mb = std::size_t(positive(limits, "memory_mb", 192));
-  if (out.max_sockets < 64) bad("fewer than 64 sockets");
-  if (!config.contains("settings")) bad("no settings");
-  out.settings = wire::parse_settings(config["settings"]);
-  check(out.settings);
-  const json network = config["settings"].value("Limits", json::object());
-  out.connection_idle_timeout = positive(network, "ConnIdleUs", out.connection_idle_timeout);
-  out.connect_timeout = positive(network, "DialTimeoutUs", out.connect_timeout);
-  if (config.contains("known") && !config["known"].is_null())
-    out.initial_endpoints = parse_discovery_update(config["known"]);
-  return out;
+ConfigError::ConfigError(const std::string& path, const std::string& reason)
+    : std::runtime_error(error_message(path, reason)), path_(path) {}
+
+Configuration parse_configuration(const json& document) {
+  if (!document.is_object()) throw ConfigError("", "must be an object");
+  Configuration configuration;
+  configuration.name = required_string(document, "name");
+  configuration.listen = required_endpoint(document, "listen");
+  configuration.discovery = required_endpoint(document, "discovery");
+  configuration.counter = optional_endpoint(document, "counter");
+  configuration.admin_address = optional_endpoint(document, "admin_addr");
+  if (document.contains("seed")) configuration.seed = parse_seed(required_string(document, "seed"));
+  parse_limits(document, configuration);
+  parse_settings(document, configuration);
+  if (is_present(document, "known"))
+    configuration.initial_endpoints =
+        read_at("known", [&] { return parse_discovery_update(document["known"]); });
+  return configuration;
+}
+
+Duration max_client_timeout(const Settings& settings) {
+  Duration longest = 0;
+  for (const ClassSettings& request_class : settings.classes)
+    longest = std::max(longest, request_class.client_timeout);
+  return longest;
 }
 
 }  // namespace quota_gateway::net
--- /dev/null
+++ b/src/runtime/graceful_shutdown.cpp
@@ -0,0 +1,50 @@
+#include "runtime/graceful_shutdown.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace quota_gateway::net {
+namespace {
+
+// Clients still connect for up to 0.4 s after the platform has announced the shutdown.
+constexpr Duration kAcceptDuration = 1'000'000;   // us
+constexpr Duration kDrainCheckInterval = 20'000;  // us
+// The platform kills the process after the longest client timeout, capped, and a grace period.
+constexpr Duration kMaxTimeoutBeforeKill = 3'000'000;  // us
+constexpr Duration kKillGracePeriod = 700'000;         // us
+// The last responses are due so much earlier, as the process may be descheduled meanwhile.
+constexpr Duration kResponseMargin = 250'000;  // us
+
+}  // namespace
+
+GracefulShutdown::GracefulShutdown(Timers& timers, ClientListener& client_listener,
+                                   RequestForwarder& forwarder, Duration max_client_timeout)
+    : timers_(timers),
+      client_listener_(client_listener),
+      forwarder_(forwarder),
+      max_client_timeout_(max_client_timeout) {}
+
+void GracefulShutdown::start(std::function<void()> on_drained) {
+  if (is_started()) return;
+  on_drained_ = std::move(on_drained);
+  const TimePoint now = timers_.now();
+  const TimePoint killed_at = now + std::min(max_client_timeout_, kMaxTimeoutBeforeKill) + kKillGracePeriod;
+  deadline_ = now + kAcceptDuration + max_client_timeout_;
+  forwarder_.limit_deadlines(killed_at - kResponseMargin);
+  client_listener_.drain();
+  timers_.schedule_after(kAcceptDuration, [this] {
+    client_listener_.stop_accepting();
+    check_drained();
+  });
+}
+
+void GracefulShutdown::check_drained() {
+  const bool is_drained = !forwarder_.has_unanswered_requests() && client_listener_.is_idle();
+  if (is_drained || timers_.now() >= deadline_) {
+    on_drained_();
+    return;
+  }
+  timers_.schedule_after(kDrainCheckInterval, [this] { check_drained(); });
+}
+
+}  // namespace quota_gateway::net
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -5,24 +5,38 @@
 namespace quota_gateway::net {
 
 Metrics::Metrics(const Settings& settings) {
-  for (const ClassSettings& c : settings.classes)
-    passed_[c.name] = dropped_[c.name] = bad_gateway_[c.name] = 0;
+  for (const ClassSettings& request_class : settings.classes) {
+    served_[request_class.name] = 0;
+    rejected_[request_class.name] = 0;
+    failed_[request_class.name] = 0;
+  }
 }
 
 void Metrics::count_response(const std::string& request_class, int status) {
-  ByClass& count = status == 200 ? passed_ : status == 429 || status == 503 ? dropped_ : bad_gateway_;
-  ++count[request_class];
+  ++responses_with(status)[request_class];
 }
 
-std::string Metrics::to_json(const Gauges& now) const {
-  const nlohmann::json out{{"passed", passed_},
-                           {"dropped", dropped_},
-                           {"bad_gateway", bad_gateway_},
-                           {"upstream_tries", tries_},
-                           {"in_progress", now.in_progress},
-                           {"known_booking_servers", now.known_endpoints},
-                           {"skipped_booking_servers", now.excluded_endpoints}};
-  return out.dump() + "\n";
+Metrics::CounterByClass& Metrics::responses_with(int status) {
+  switch (status) {
+    case 200:
+      return served_;
+    case 429:
+    case 503:
+      return rejected_;
+    default:
+      return failed_;
+  }
+}
+
+std::string Metrics::to_json(const Gauges& gauges) const {
+  const nlohmann::json metrics{{"passed", served_},
+                               {"dropped", rejected_},
+                               {"bad_gateway", failed_},
+                               {"upstream_tries", attempts_},
+                               {"in_progress", gauges.requests_in_progress},
+                               {"known_booking_servers", gauges.known_endpoints},
+                               {"skipped_booking_servers", gauges.excluded_endpoints}};
+  return metrics.dump() + "\n";
 }
 
 }  // namespace quota_gateway::net
--- /dev/null
+++ b/src/runtime/request_forwarder.cpp
@@ -0,0 +1,310 @@
+#include "runtime/request_forwarder.hpp"
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <iostream>
+#include <utility>
+
+namespace quota_gateway::net {
+namespace {
+
+// The response needs time on its way to the client, whose timeout runs from its send.
+constexpr Duration kResponseMargin = 20'000;     // us
+constexpr double kMaxResponseMarginShare = 0.1;  // of the client's timeout
+// The decision engine answers at the deadline; so much later the forwarder does so in its place.
+constexpr Duration kDeadlineBackstop = 10'000;  // us
+// A response that is forwarded in chunks may go on after its deadline, but not stall for so long.
+constexpr Duration kStreamStallTimeout = 400'000;  // us
+// A client waits from the last byte of its body on; uploads that stall are ended by the client listener.
+constexpr Duration kUploadTimeout = 3'600'000'000;  // us
+
+constexpr int kStatusOk = 200;
+constexpr int kStatusTooManyRequests = 429;
+constexpr int kStatusBadGateway = 502;
+constexpr int kStatusServiceUnavailable = 503;
+constexpr int kStatusGatewayTimeout = 504;
+
+AttemptResult result_without_response(Outcome outcome) {
+  AttemptResult result;
+  result.outcome = outcome;
+  return result;
+}
+
+}  // namespace
+
+RequestForwarder::RequestForwarder(const Parts& parts, const Settings& settings)
+    : io_(parts.io),
+      timers_(parts.timers),
+      decision_loop_(parts.decision_loop),
+      client_listener_(parts.client_listener),
+      upstream_(parts.upstream),
+      metrics_(parts.metrics),
+      max_attempts_(settings.max_attempts),
+      allow_hedging_(settings.allow_hedging) {}
+
+// ---- Clients --------------------------------------------------------------------------------------------
+RequestId RequestForwarder::on_request(std::uint64_t client, ClientRequest client_request) {
+  RequestRecord& request = requests_.create();
+  request.client = client;
+  request.timeout = client_request.timeout;
+  request.outgoing = std::move(client_request.outgoing);
+  request.request_class = client_request.arrived.request_class;
+  ++requests_in_progress_;
+  const bool body_pending = request.outgoing.upload != nullptr;
+  if (body_pending) {
+    request.deadline = timers_.now() + kUploadTimeout;
+  } else {
+    start_deadline(request, client_request.received_at);
+  }
+  RequestArrived arrived = std::move(client_request.arrived);
+  arrived.id = std::to_string(request.id);  // A client may use its own identifier more than once.
+  arrived.body_pending = body_pending;
+  arrived.deadline = request.deadline;
+  decision_loop_.push(std::move(arrived));
+  return request.id;
+}
+
+void RequestForwarder::on_body_complete(RequestId id, TimePoint last_byte_pending_since) {
+  RequestRecord* request = requests_.find(id);
+  if (request == nullptr || request->is_answered()) return;
+  start_deadline(*request, last_byte_pending_since);
+  for (int index = 0; index <= request->last_attempt(); ++index) {
+    AttemptRecord& attempt = request->attempt(index);
+    if (!attempt.in_flight) continue;
+    attempt.sent_at = timers_.now();  // The endpoint begins to process the request only now.
+    schedule_attempt_timeout({id, index}, request->deadline);
+  }
+  decision_loop_.push(RequestBodyCompleted{std::to_string(id), request->deadline});
+}
+
+void RequestForwarder::on_body_lagging(RequestId id, TimePoint last_byte_pending_since) {
+  const RequestRecord* request = requests_.find(id);
+  if (request == nullptr) return;
+  if (timers_.now() >= deadline_of(*request, last_byte_pending_since)) on_deadline(id);
+}
+
+void RequestForwarder::on_client_disconnected(RequestId id) {
+  RequestRecord* request = requests_.find(id);
+  if (request == nullptr) return;
+  const bool is_streaming = request->is_streamed() && request->attempts.back().in_flight;
+  if (request->is_answered() && !is_streaming) return;
+  decision_loop_.push(RequestCancelled{std::to_string(id)});
+  if (is_streaming) {
+    cancel_response(*request);
+    return;
+  }
+  request->response = ResponseState::kClosed;
+  --requests_in_progress_;
+  // An attempt that no endpoint can have started is not sent, whether or not cancelling is allowed.
+  cancel_unwritten_attempts(*request, Outcome::kNotSent);
+  requests_.retire_if_finished(*request);
+}
+
+void RequestForwarder::on_writable(RequestId id) {
+  const RequestRecord* request = requests_.find(id);
+  if (request != nullptr && request->is_streamed()) upstream_.request_more({id, request->last_attempt()});
+}
+
+// ---- Deadlines ------------------------------------------------------------------------------------------
+TimePoint RequestForwarder::deadline_of(const RequestRecord& request, TimePoint received_at) const {
+  const auto max_margin = Duration(kMaxResponseMarginShare * double(request.timeout));
+  const TimePoint deadline = received_at + request.timeout - std::min(kResponseMargin, max_margin);
+  return latest_deadline_ ? std::min(deadline, *latest_deadline_) : deadline;
+}
+
+void RequestForwarder::start_deadline(RequestRecord& request, TimePoint received_at) {
+  request.deadline = deadline_of(request, received_at);
+  timers_.schedule_at(request.deadline + kDeadlineBackstop, [this, id = request.id] { on_deadline(id); });
+}
+
+void RequestForwarder::on_deadline(RequestId id) {
+  RequestRecord* request = requests_.find(id);
+  if (request == nullptr || request->is_answered()) return;
+  std::cerr << "request forwarder: request " << id << " failed: no final response by its deadline\n";
+  request->last_attempt_timed_out = true;
+  fail(*request);
+  decision_loop_.push(RequestCancelled{std::to_string(id)});
+  // The rest of a body that no endpoint has received completely is no longer awaited.
+  cancel_unwritten_attempts(*request, Outcome::kConnectFailed);
+}
+
+void RequestForwarder::limit_deadlines(TimePoint time) {
+  latest_deadline_ = time;
+  for (const RequestId id : requests_.unanswered_after(time))
+    timers_.schedule_at(time, [this, id] { on_deadline(id); });
+}
+
+void RequestForwarder::schedule_attempt_timeout(AttemptKey key, TimePoint time) {
+  timers_.schedule_at(time, [this, key] { on_attempt_timeout(key); });
+}
+
+void RequestForwarder::on_attempt_timeout(AttemptKey key) {
+  RequestRecord* request = requests_.find(key.request);
+  if (request == nullptr || !request->attempt(key.attempt).in_flight) return;
+  if (request->is_streamed()) {
+    const TimePoint last_progress_at = std::max(request->deadline, upstream_.last_progress_at(key));
+    const TimePoint stalled_at = last_progress_at + kStreamStallTimeout;
+    if (timers_.now() < stalled_at) {
+      schedule_attempt_timeout(key, stalled_at);
+      return;
+    }
+  }
+  const bool may_be_written = upstream_.cancel(key);
+  on_attempt_ended(key,
+                   result_without_response(may_be_written ? Outcome::kTimeout : Outcome::kConnectFailed));
+}
+
+// ---- Attempts -------------------------------------------------------------------------------------------
+void RequestForwarder::on_response_started(AttemptKey key, const AttemptResult& head,
+                                           std::optional<std::uint64_t> length) {
+  RequestRecord* request = requests_.find(key.request);
+  if (request == nullptr || request->is_answered()) return;
+  const AttemptRecord& attempt = request->attempt(key.attempt);
+  request->response = ResponseState::kStreamed;
+  // An endpoint may respond before it has received the whole body. The client's time then starts here.
+  if (request->is_uploading()) {
+    start_deadline(*request, timers_.now());
+    schedule_attempt_timeout(key, request->deadline);
+  }
+  decision_loop_.push(ResponseStarted{.id = std::to_string(key.request),
+                                      .attempt = key.attempt,
+                                      .endpoint = attempt.endpoint,
+                                      .duration = timers_.now() - attempt.sent_at,
+                                      .billed_units = head.billed_units,
+                                      .load = head.load});
+  client_listener_.start_response(request->client, length);
+}
+
+void RequestForwarder::on_response_chunk(AttemptKey key, std::string bytes) {
+  const RequestRecord* request = requests_.find(key.request);
+  if (request != nullptr && request->is_streamed())
+    client_listener_.write_chunk(request->client, std::move(bytes));
+}
+
+void RequestForwarder::on_attempt_ended(AttemptKey key, AttemptResult result) {
+  RequestRecord* request = requests_.find(key.request);
+  if (request == nullptr) return;
+  AttemptRecord& attempt = request->attempt(key.attempt);
+  if (!attempt.in_flight) return;
+  attempt.in_flight = false;
+  --request->attempts_in_flight;
+  request->last_attempt_timed_out = result.outcome == Outcome::kTimeout;
+  AttemptEnded ended;
+  ended.id = std::to_string(key.request);
+  ended.attempt = key.attempt;
+  ended.endpoint = attempt.endpoint;
+  ended.outcome = result.outcome;
+  ended.duration = timers_.now() - attempt.sent_at;
+  ended.load = result.load;
+  ended.billed_units = result.billed_units;
+  ended.replayable = !request->outgoing.upload || !request->outgoing.upload->is_started();
+  end_response(*request, result);
+  ended.request_finished = request->is_answered();
+  decision_loop_.push(std::move(ended));
+  requests_.retire_if_finished(*request);
+}
+
+// Gives the client what the end of an attempt means for its response.
+void RequestForwarder::end_response(RequestRecord& request, AttemptResult& result) {
+  const bool is_complete = result.outcome == Outcome::kOk;
+  if (!request.is_streamed()) {
+    if (!is_complete) return;
+    Response response;
+    response.status = kStatusOk;
+    response.body = std::move(result.body);
+    respond(request, std::move(response));
+    return;
+  }
+  count_response(request, is_complete ? kStatusOk : kStatusBadGateway);
+  if (is_complete) {
+    client_listener_.finish_response(request.client);
+  } else {
+    client_listener_.abort_response(request.client);
+  }
+}
+
+void RequestForwarder::cancel_response(const RequestRecord& request) {
+  const AttemptKey key{request.id, request.last_attempt()};
+  upstream_.cancel(key);
+  on_attempt_ended(key, result_without_response(Outcome::kCancelled));
+}
+
+void RequestForwarder::cancel_unwritten_attempts(const RequestRecord& request, Outcome outcome) {
+  for (int index = 0; index <= request.last_attempt(); ++index) {
+    const AttemptKey key{request.id, index};
+    if (upstream_.cancel_unless_written(key)) on_attempt_ended(key, result_without_response(outcome));
+  }
+}
+
+// ---- Actions --------------------------------------------------------------------------------------------
+void RequestForwarder::send_attempt(const SendAttempt& action) {
+  RequestRecord* request = requests_.find(action.id);
+  if (request == nullptr) return;
+  const TimePoint now = timers_.now();
+  request->attempts.push_back({.endpoint = action.endpoint, .sent_at = now});
+  ++request->attempts_in_flight;
+  const AttemptKey key{request->id, request->last_attempt()};
+  const TimePoint deadline =
+      action.timeout == 0 ? request->deadline : std::min(request->deadline, now + action.timeout);
+  if (deadline <= now || !is_attempt_allowed(*request)) {
+    boost::asio::post(io_,
+                      [this, key] { on_attempt_ended(key, result_without_response(Outcome::kNotSent)); });
+    return;
+  }
+  const bool is_uploading = request->is_uploading();
+  if (!is_uploading) schedule_attempt_timeout(key, deadline);
+  upstream_.send(key, action.endpoint, request->outgoing, is_uploading ? now + request->timeout : deadline);
+}
+
+// Whether the newest attempt may be sent. The client may have disconnected since the batch of events.
+bool RequestForwarder::is_attempt_allowed(const RequestRecord& request) const {
+  if (request.is_answered()) return false;
+  if (request.attempts_in_flight > 1 && !allow_hedging_) return false;
+  return int(request.attempts.size()) <= max_attempts_;
+}
+
+void RequestForwarder::cancel_attempt(const CancelAttempt& action) {
+  RequestRecord* request = requests_.find(action.id);
+  if (request == nullptr || action.attempt < 0 || action.attempt > request->last_attempt()) return;
+  if (!request->attempt(action.attempt).in_flight) return;
+  const AttemptKey key{request->id, action.attempt};
+  const bool may_be_written = upstream_.cancel(key);
+  on_attempt_ended(key, result_without_response(may_be_written ? Outcome::kCancelled : Outcome::kNotSent));
+}
+
+void RequestForwarder::reject_request(const RejectRequest& action) {
+  RequestRecord* request = requests_.find(action.id);
+  if (request == nullptr) return;
+  Response response;
+  response.status = request->attempts.empty() ? kStatusTooManyRequests : kStatusServiceUnavailable;
+  response.retry_after = action.retry_after;
+  respond(*request, std::move(response));
+  requests_.retire_if_finished(*request);
+}
+
+void RequestForwarder::fail_request(const FailRequest& action) {
+  RequestRecord* request = requests_.find(action.id);
+  if (request != nullptr) fail(*request);
+}
+
+void RequestForwarder::fail(RequestRecord& request) {
+  Response response;
+  response.status = request.last_attempt_timed_out ? kStatusGatewayTimeout : kStatusBadGateway;
+  respond(request, std::move(response));
+  requests_.retire_if_finished(request);
+}
+
+// Sends the final response, unless the request already has one.
+void RequestForwarder::respond(RequestRecord& request, Response response) {
+  if (request.is_answered()) return;
+  request.response = ResponseState::kClosed;
+  count_response(request, response.status);
+  client_listener_.respond(request.client, std::move(response));
+}
+
+void RequestForwarder::count_response(const RequestRecord& request, int status) {
+  --requests_in_progress_;
+  metrics_.count_response(request.request_class, status);
+}
+
+}  // namespace quota_gateway::net
--- a/src/runtime/timers.cpp
+++ b/src/runtime/timers.cpp
@@ -1,42 +1,62 @@
 #include "runtime/timers.hpp"
 
 #include <algorithm>
+#include <chrono>
+#include <utility>
 
 namespace quota_gateway::net {
 
-void Timers::schedule_at(Micros when, std::function<void()> what) {
-  heap_.push_back({when, ++order_, std::move(what)});
+bool Timers::Entry::operator<(const Entry& other) const {
+  if (due_at != other.due_at) return due_at > other.due_at;
+  return sequence_number > other.sequence_number;
+}
+
+void Timers::schedule_at(TimePoint due_at, Callback callback) {
+  heap_.push_back({due_at, ++last_sequence_number_, std::move(callback)});
   std::push_heap(heap_.begin(), heap_.end());
   arm();
 }
 
+void Timers::schedule_after(Duration delay, Callback callback) {
+  schedule_at(clock_.now() + delay, std::move(callback));
+}
+
 void Timers::arm() {
   if (heap_.empty()) return;
-  const Micros first = heap_.front().when;
-  if (armed_for_ != 0 && armed_for_ <= first) return;
-  armed_for_ = first;
-  timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, first - clock_.now())));
-  timer_.async_wait([this](const boost::system::error_code& ec) {
-    if (!ec) fire();  // else it was armed anew for an earlier time
+  const TimePoint first_due_at = heap_.front().due_at;
+  if (armed_for_ && *armed_for_ <= first_due_at) return;
+  armed_for_ = first_due_at;
+  timer_.expires_after(std::chrono::microseconds(std::max<Duration>(0, first_due_at - clock_.now())));
+  timer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) run_due();  // An error means that the timer has been armed again for an earlier time.
   });
 }
 
-void Timers::fire() {
-  armed_for_ = 0;
-  const Micros now = clock_.now();
+void Timers::run_due() {
+  armed_for_.reset();
+  std::vector<Entry> due = take_due();
+  arm();  // Before the callbacks, as one of them may throw.
+  run(std::move(due));
+}
+
+std::vector<Timers::Entry> Timers::take_due() {
+  const TimePoint now = clock_.now();
   std::vector<Entry> due;
-  while (!heap_.empty() && heap_.front().when <= now) {
+  while (!heap_.empty() && heap_.front().due_at <= now) {
     std::pop_heap(heap_.begin(), heap_.end());
     due.push_back(std::move(heap_.back()));
     heap_.pop_back();
   }
-  arm();  // first, so that a throw in what is due can't stop the clock
-  for (std::size_t i = 0; i < due.size(); ++i) {
+  return due;
+}
+
+void Timers::run(std::vector<Entry> entries) {
+  for (auto entry = entries.begin(); entry != entries.end(); ++entry) {
     try {
-      due[i].what();
+      entry->callback();
     } catch (...) {
-      for (++i; i < due.size(); ++i)
-        schedule_at(due[i].when, std::move(due[i].what));  // nor be the end of the others
+      // The remaining callbacks are not lost to the failure of this one.
+      for (++entry; entry != entries.end(); ++entry) schedule_at(entry->due_at, std::move(entry->callback));
       throw;
     }
   }
--- a/tests/restart/stored_files_test.cpp
+++ b/tests/restart/stored_files_test.cpp
@@ -1,6 +1,6 @@
-// A gateway takes over from the files that an earlier build has written: quota slices, slow start, endpoints
-// that staff disabled, and attempts of the process before it. QUOTA_GATEWAY_UPDATE_FIXTURES=1 records them
-// anew.
+// A gateway restores its state from the files that an earlier build has written: quota slices, slow start,
+// endpoints that operators disabled, and attempts of its predecessor. QUOTA_GATEWAY_UPDATE_FIXTURES=1 records
+// them anew.
 #include <sys/file.h>
 
 #include <chrono>
@@ -21,7 +21,7 @@
 
 constexpr const char* kFixtures = FIXTURE_DIRECTORY "/stored_files/";
 constexpr const char* kExhausted = "00000000000000a1";  // customers: has used up its quota
-constexpr const char* kBusy = "00000000000000b2";       // has its one attempt out
+constexpr const char* kBusy = "00000000000000b2";       // has its one attempt in flight
 constexpr const char* kSteady = "00000000000000c3";     // has a wide quota
 constexpr const char* kFresh = "00000000000000d4";      // is not in the files
 
@@ -42,17 +42,17 @@
   fs::rename(part, path);
 }
 
-// The lock by which a process shows that it lives.
-class AliveLock {
+// The lock that shows that a process is running.
+class LivenessLockFile {
  public:
-  AliveLock(const fs::path& directory, const std::string& token)
+  LivenessLockFile(const fs::path& directory, const std::string& token)
       : path_(directory / ("alive-" + token)),
         descriptor_(::open(path_.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600)) {
     EXPECT_EQ(::flock(descriptor_, LOCK_EX | LOCK_NB), 0);
   }
-  AliveLock(const AliveLock&) = delete;
-  AliveLock& operator=(const AliveLock&) = delete;
-  ~AliveLock() {
+  LivenessLockFile(const LivenessLockFile&) = delete;
+  LivenessLockFile& operator=(const LivenessLockFile&) = delete;
+  ~LivenessLockFile() {
     ::close(descriptor_);
     ::unlink(path_.c_str());
   }
@@ -68,12 +68,12 @@
     char name[] = "/tmp/quota-gateway-test-XXXXXX";
     EXPECT_NE(::mkdtemp(name), nullptr);
     directory = name;
-    servers[0].on_request = [this](Peer& p, const Request_& r) {
-      if (r["X-Trace-Id"] == "held") return;
-      p.write(reply("200 OK", "", "x"));
+    servers[0].on_request = [this](Peer& peer, const Request_& request) {
+      if (request["X-Trace-Id"] == "held") return;
+      peer.write(reply("200 OK", "", "x"));
     };
     for (int i = 1; i < 3; ++i)
-      servers[i].on_request = [](Peer& p, const Request_&) { p.write(reply("200 OK", "", "x")); };
+      servers[i].on_request = [](Peer& peer, const Request_&) { peer.write(reply("200 OK", "", "x")); };
   }
   ~StoredFiles() override { fs::remove_all(directory); }
 
@@ -110,9 +110,9 @@
     return answer ? int(answer->result_int()) : 0;
   }
   std::string call_admin(std::uint16_t admin, const std::string& call) {
-    Client staff(io, {asio::ip::address_v4::loopback(), admin});
-    staff.send(call + " HTTP/1.1\r\nHost: n0\r\n\r\n");
-    const auto answer = staff.receive();
+    Client operator_client(io, {asio::ip::address_v4::loopback(), admin});
+    operator_client.send(call + " HTTP/1.1\r\nHost: n0\r\n\r\n");
+    const auto answer = operator_client.receive();
     EXPECT_TRUE(answer && answer->result_int() == 200u);
     return answer ? answer->body() : "";
   }
@@ -137,7 +137,7 @@
     waiting.send(request("held", kBusy, "single"));
     ASSERT_TRUE(until(io, [&] { return servers[0].requests.size() + servers[1].requests.size() > before; }));
     json fixture_owner = json::parse(read_text(directory / "owner.json"));
-    const AliveLock successor(directory, "successor");
+    const LivenessLockFile successor(directory, "successor");
     write_json(directory / "owner.json", {{"token", "successor"}, {"clock", 0}});
     ASSERT_TRUE(until(io, [&] { return fs::exists(directory / "open.json"); }));
     fixture_owner["recorded_at"] = fixture_owner["clock"].get<Micros>() + steady_now();  // for the test only
@@ -148,10 +148,10 @@
     fs::remove_all(directory);
     fs::create_directory(directory);
     for (FakeServer& server : servers) server.requests.clear();
-    servers[1].on_request = [](Peer& p, const Request_&) { p.write(reply("200 OK", "", "x")); };
+    servers[1].on_request = [](Peer& peer, const Request_&) { peer.write(reply("200 OK", "", "x")); };
   }
-  // A fixture in which `token` stands for the process to which it is handed.
-  static json handed_to(const std::string& token, const std::string& file) {
+  // A fixture that is addressed to the process named by `token`.
+  static json addressed_to(const std::string& token, const std::string& file) {
     json stored = json::parse(read_text(kFixtures + file));
     stored["for"] = token;
     return stored;
@@ -167,7 +167,7 @@
   int requests_ = 0;
 };
 
-TEST_F(StoredFiles, OfAnEarlierBuildAreTakenOver) {
+TEST_F(StoredFiles, OfAnEarlierBuildAreRestored) {
   if (std::getenv("QUOTA_GATEWAY_UPDATE_FIXTURES") != nullptr) record();
   json before = json::parse(read_text(kFixtures + std::string("owner.json")));
   const std::string predecessor = before.at("token");
@@ -175,13 +175,13 @@
   before.erase("recorded_at");
   write_json(directory / "owner.json", before);
   fs::copy_file(kFixtures + std::string("disabled.json"), directory / "disabled.json");
-  const AliveLock alive(directory, predecessor);
+  const LivenessLockFile alive(directory, predecessor);
 
   const auto admin = free_port(io);
   Process gateway(configuration(admin), platform.native_handle(), directory.string());
   ASSERT_TRUE(until(io, [&] { return !owner().empty() && owner() != predecessor; }));
-  write_json(directory / "open.json", handed_to(owner(), "open.json"));
-  write_json(directory / "state.json", handed_to(owner(), "state.json"));
+  write_json(directory / "open.json", addressed_to(owner(), "open.json"));
+  write_json(directory / "state.json", addressed_to(owner(), "state.json"));
   ASSERT_NE(gateway.log_until(": ready").find(": ready"), std::string::npos);
 
   const json figures = json::parse(call_admin(admin, "GET /-/metrics"));
@@ -191,7 +191,7 @@
   EXPECT_EQ(status_of(kFresh, "narrow"), 200);
 
   ASSERT_TRUE(until(io, [&] { return status_of(kBusy, "single") == 429; }));
-  json open = handed_to(owner(), "open.json");
+  json open = addressed_to(owner(), "open.json");
   EXPECT_EQ(open.at("open").size(), 1u);
   open["open"] = json::object();
   write_json(directory / "open.json", open);
--- a/tests/runtime/coordinator_test.cpp
+++ b/tests/runtime/coordinator_test.cpp
@@ -1,4 +1,4 @@
-// A whole gateway in one loop with its clients, servers, counter and discovery.
+// A complete gateway in one event loop with its clients, endpoints, counter and discovery.
 #include "runtime/coordinator.hpp"
 
 #include <gtest/gtest.h>
@@ -10,21 +10,21 @@
 
 class CoordinatorTest : public ::testing::Test {
  protected:
-  int status(Client& c) {
-    const auto answer = c.receive();
+  int status(Client& client) {
+    const auto answer = client.receive();
     return answer ? int(answer->result_int()) : 0;
   }
   Rig rig;
   FakeServer s1{rig.io}, s2{rig.io}, s3{rig.io}, s4{rig.io};
 };
 
-TEST_F(CoordinatorTest, ServesUnchangedAndKeepsTheConnection) {
+TEST_F(CoordinatorTest, ForwardsRequestsUnchangedAndReusesTheConnection) {
   rig.know(member("s1", s1));
   rig.start();
-  Client c = rig.client();
+  Client client = rig.client();
   for (int i = 0; i < 3; ++i) {
-    c.send(post("t" + std::to_string(i)));
-    const auto answer = c.receive();
+    client.send(post("t" + std::to_string(i)));
+    const auto answer = client.receive();
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->result_int(), 200u);
     EXPECT_EQ(answer->body(), "/intro-request/00000000b4d65521?x=1");
@@ -35,14 +35,14 @@
   EXPECT_EQ(s1.peers.size(), 1u);
 }
 
-TEST_F(CoordinatorTest, Health) {
+TEST_F(CoordinatorTest, AnswersHealthChecks) {
   rig.start();
-  Client c = rig.client();
-  c.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-  EXPECT_EQ(status(c), 200);
+  Client client = rig.client();
+  client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+  EXPECT_EQ(status(client), 200);
 }
 
-TEST_F(CoordinatorTest, MalformedOrOversizedInputIsAnsweredAndClosed) {
+TEST_F(CoordinatorTest, RejectsMalformedOrOversizedInputAndClosesTheConnection) {
   rig.start();
   const std::string head = "GET /profile-read/00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\n";
   const std::map<std::string, int> inputs = {
@@ -66,14 +66,14 @@
        "Content-Length: 70000000\r\n\r\n",
        413}};
   for (const auto& [input, want] : inputs) {
-    Client c = rig.client();
-    c.send(input);
-    EXPECT_EQ(status(c), want) << input.substr(0, 200);
-    EXPECT_TRUE(c.ended()) << input.substr(0, 200);
+    Client client = rig.client();
+    client.send(input);
+    EXPECT_EQ(status(client), want) << input.substr(0, 200);
+    EXPECT_TRUE(client.ended()) << input.substr(0, 200);
   }
 }
 
-TEST_F(CoordinatorTest, APeerThatSendsNoWholeRequestIsClosedAndAClientBetweenRequestsIsKept) {
+TEST_F(CoordinatorTest, ClosesConnectionsWithoutACompleteRequestAndKeepsIdleClients) {
   rig.know(member("s1", s1));
   rig.start();
   Client known = rig.client(), silent = rig.client(), partial = rig.client();
@@ -86,39 +86,40 @@
   EXPECT_EQ(status(known), 200);
 }
 
-TEST_F(CoordinatorTest, RequestsInPiecesAndBehindEachOther) {
+TEST_F(CoordinatorTest, ReadsFragmentedAndPipelinedRequests) {
   rig.know(member("s1", s1));
   rig.start();
-  Client c = rig.client();
-  for (const char byte : post("a")) c.send(std::string(1, byte));
-  EXPECT_EQ(status(c), 200);
-  c.send(get("b") + get("c"));
-  EXPECT_EQ(status(c), 200);
-  EXPECT_EQ(status(c), 200);
+  Client client = rig.client();
+  for (const char byte : post("a")) client.send(std::string(1, byte));
+  EXPECT_EQ(status(client), 200);
+  client.send(get("b") + get("c"));
+  EXPECT_EQ(status(client), 200);
+  EXPECT_EQ(status(client), 200);
 }
 
-TEST_F(CoordinatorTest, DeadlinesAreKept) {
-  // A silent server: the answer comes before the client's own time is up, once.
+TEST_F(CoordinatorTest, AnswersBeforeTheDeadlineOfTheClient) {
+  // The endpoint does not respond: the client gets one response before its timeout.
   s1.on_request = [](Peer&, const Request_&) {};
   rig.know(member("s1", s1));
   rig.start();
-  Client c = rig.client();
-  c.send(post("a", "400m"));
-  EXPECT_EQ(status(c), 504);  // may have run: no refusal
+  Client client = rig.client();
+  client.send(post("a", "400m"));
+  EXPECT_EQ(status(client), 504);  // may have been executed, so it is not a rejection
   ASSERT_TRUE(rig.until([&] { return s1.peers.at(0)->over; }));
-  c.send(get("b", "X-Second-Try: 1\r\n"));  // safe: the aim is all the time that it has
-  EXPECT_EQ(status(c), 503);
+  client.send(
+      get("b", "X-Second-Try: 1\r\n"));  // idempotent; the latency objective is as long as the timeout
+  EXPECT_EQ(status(client), 503);
   EXPECT_EQ(s1.requests.size(), 2u);
 }
 
-TEST_F(CoordinatorTest, AKeyedRetryStaysInItsCell) {
-  // What may have run goes again only to the servers that share its key.
+TEST_F(CoordinatorTest, ARetryByIdempotencyKeyStaysInItsCell) {
+  // A request that may have been executed is retried only on endpoints that share its idempotency key.
   std::vector<std::string> cells;
   const auto serve = [&cells](const std::string& cell) {
-    return [&cells, cell](Peer& p, const Request_&) {
+    return [&cells, cell](Peer& peer, const Request_&) {
       cells.push_back(cell);
-      if (cells.size() % 2 == 1) return p.reset();
-      p.write(reply("200 OK", "", "x"));
+      if (cells.size() % 2 == 1) return peer.reset();
+      peer.write(reply("200 OK", "", "x"));
     };
   };
   s1.on_request = s2.on_request = serve("one");
@@ -128,144 +129,145 @@
   rig.know(member("s3", s3, 2));
   rig.know(member("s4", s4, 2));
   rig.start();
-  Client c = rig.client();
+  Client client = rig.client();
   for (int i = 0; i < 4; ++i) {
-    c.send(post("t" + std::to_string(i)));
-    EXPECT_EQ(status(c), 200);
+    client.send(post("t" + std::to_string(i)));
+    EXPECT_EQ(status(client), 200);
     ASSERT_EQ(cells.size(), std::size_t(2 * i + 2));
     EXPECT_EQ(cells[cells.size() - 1], cells[cells.size() - 2]);
   }
 }
 
-TEST_F(CoordinatorTest, AKeyedRequestAloneInItsCellFailsAndIsNotRefused) {
+TEST_F(CoordinatorTest, ARequestByIdempotencyKeyFailsWhenItsCellHasNoOtherEndpoint) {
   int seen = 0;
-  s1.on_request = s2.on_request = [&](Peer& p, const Request_&) {
+  s1.on_request = s2.on_request = [&](Peer& peer, const Request_&) {
     ++seen;
-    p.reset();
+    peer.reset();
   };
   rig.know(member("s1", s1, 1));
   rig.know(member("s2", s2, 2));
   rig.start();
-  Client c = rig.client();
-  c.send(post("a"));
-  EXPECT_EQ(status(c), 502);
+  Client client = rig.client();
+  client.send(post("a"));
+  EXPECT_EQ(status(client), 502);
   EXPECT_EQ(seen, 1);
 }
 
-TEST_F(CoordinatorTest, WhatNeverRanGoesToAnotherServer) {
-  int turned = 0;
-  const auto busy = [&](Peer& p, const Request_&) {
-    if (++turned == 1) return p.write(reply("503 Full", "X-Never-Ran: 1\r\n"));
-    p.write(reply("200 OK", "", "x"));
+TEST_F(CoordinatorTest, RetriesAnAttemptThatWasNotExecutedOnAnotherEndpoint) {
+  int attempts = 0;
+  const auto busy = [&](Peer& peer, const Request_&) {
+    if (++attempts == 1) return peer.write(reply("503 Full", "X-Never-Ran: 1\r\n"));
+    peer.write(reply("200 OK", "", "x"));
   };
   s1.on_request = s2.on_request = busy;
   rig.know(member("s1", s1, 1));
   rig.know(member("s2", s2, 2));
   rig.start();
-  Client c = rig.client();
-  c.send(post("a"));
-  EXPECT_EQ(status(c), 200);
-  EXPECT_EQ(turned, 2);
+  Client client = rig.client();
+  client.send(post("a"));
+  EXPECT_EQ(status(client), 200);
+  EXPECT_EQ(attempts, 2);
 }
 
-TEST_F(CoordinatorTest, AClientThatLeavesEndsItsAttempt) {
+TEST_F(CoordinatorTest, ADisconnectedClientEndsItsAttempt) {
   s1.on_request = [](Peer&, const Request_&) {};
   rig.know(member("s1", s1));
   rig.start();
   {
-    Client c = rig.client();
-    c.send(get("a"));
+    Client client = rig.client();
+    client.send(get("a"));
     ASSERT_TRUE(rig.until([&] { return s1.requests.size() == 1; }));
   }
   EXPECT_TRUE(rig.until([&] { return s1.peers.at(0)->over; }));
-  s1.on_request = [](Peer& p, const Request_&) { p.write(reply("200 OK", "", "x")); };
+  s1.on_request = [](Peer& peer, const Request_&) { peer.write(reply("200 OK", "", "x")); };
   Client other = rig.client();
   other.send(get("b"));
   EXPECT_EQ(status(other), 200);
 }
 
-TEST_F(CoordinatorTest, BeyondTheQuotaIsRefusedAtOnceWithAdvice) {
-  // Guards against refusals that do not say when to come back, also where the site's own clients do not ask.
+TEST_F(CoordinatorTest, RejectsBeyondTheQuotaAtOnceWithRetryAfter) {
+  // A rejection carries Retry-After even where the settings do not ask for it.
   rig.config.settings.allow_retry_after = false;
   rig.config.settings.plans[0].rate = 1;
   rig.config.settings.plans[0].burst = 3;
   rig.know(member("s1", s1));
   rig.start();
-  Client c = rig.client();
-  int refused = 0;
-  for (int i = 0; i < 10 && refused == 0; ++i) {
-    c.send(get("t" + std::to_string(i)));
-    const auto answer = c.receive();
+  Client client = rig.client();
+  int rejected = 0;
+  for (int i = 0; i < 10 && rejected == 0; ++i) {
+    client.send(get("t" + std::to_string(i)));
+    const auto answer = client.receive();
     ASSERT_TRUE(answer);
     if (answer->result_int() == 200) continue;
     EXPECT_EQ(answer->result_int(), 429u);
     EXPECT_GT(std::stod(std::string((*answer)["Retry-After"])), 0);
-    refused = i + 1;
+    rejected = i + 1;
   }
-  EXPECT_GT(refused, 1);
+  EXPECT_GT(rejected, 1);
 }
 
-TEST_F(CoordinatorTest, UnitsBilledWithTheAnswerAreTakenFromTheQuota) {
+TEST_F(CoordinatorTest, ChargesUnitsBilledWithTheResponseToTheQuota) {
   rig.config.settings.settles_units_later = true;
   rig.config.settings.plans[0].rate = 1e-6;
-  rig.config.settings.plans[0].burst = 30;  // ten of them here: the customer comes through three gateways
+  rig.config.settings.plans[0].burst = 30;  // ten of them at this one of three gateways
   rig.know(member("s1", s1));
-  s1.on_request = [](Peer& p, const Request_& r) {
-    p.write(reply("200 OK", r["X-Trace-Id"] == "odd" ? "Billed-Units: many\r\n" : "Billed-Units: 4.5\r\n"));
+  s1.on_request = [](Peer& peer, const Request_& request) {
+    peer.write(
+        reply("200 OK", request["X-Trace-Id"] == "odd" ? "Billed-Units: many\r\n" : "Billed-Units: 4.5\r\n"));
   };
   rig.start();
-  Client c = rig.client();
+  Client client = rig.client();
   for (const auto& [id, want] : {std::pair{"odd", 200}, {"a", 200}, {"b", 200}, {"c", 429}}) {
-    c.send(get(id));  // guessed as one unit
-    EXPECT_EQ(status(c), want) << id;
+    client.send(get(id));  // estimated as one unit
+    EXPECT_EQ(status(client), want) << id;
   }
 }
 
-TEST_F(CoordinatorTest, TotalsComeFromTheCounterAndItsSilenceLetsRequestsPass) {
+TEST_F(CoordinatorTest, QueriesTheCounterAndAdmitsRequestsWhenItDoesNotAnswer) {
   FakeCounter counter(rig.io);
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 30'000;
   rig.config.counter = counter.address();
   rig.know(member("s1", s1));
   rig.start();
-  Client c = rig.client();
-  c.send(get("a"));
-  EXPECT_EQ(status(c), 200);
+  Client client = rig.client();
+  client.send(get("a"));
+  EXPECT_EQ(status(client), 200);
   ASSERT_TRUE(rig.until([&] { return !counter.calls.empty(); }));
   counter.silent = true;
-  c.send(get("b"));
-  EXPECT_EQ(status(c), 200);
+  client.send(get("b"));
+  EXPECT_EQ(status(client), 200);
   counter.stop();
-  c.send(get("c"));
-  EXPECT_EQ(status(c), 200);
+  client.send(get("c"));
+  EXPECT_EQ(status(client), 200);
 }
 
-TEST_F(CoordinatorTest, FollowsDiscovery) {
+TEST_F(CoordinatorTest, FollowsDiscoveryUpdates) {
   rig.know(member("s1", s1));
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
   rig.discovery.tell(list(42, false, entry("s1", s1.text(), "draining") + "," + entry("s2", s2.text())));
-  Client c = rig.client();
-  // Until the change is taken in; from then on the server that drains gets nothing.
+  Client client = rig.client();
+  // Until the update is applied; from then on the draining endpoint gets no request.
   for (int i = 0; s2.requests.empty() && i < 1000; ++i) {
-    c.send(get("t" + std::to_string(i)));
-    EXPECT_EQ(status(c), 200);
+    client.send(get("t" + std::to_string(i)));
+    EXPECT_EQ(status(client), 200);
   }
   const auto before = s1.requests.size();
   for (int i = 0; i < 10; ++i) {
-    c.send(get("u" + std::to_string(i)));
-    EXPECT_EQ(status(c), 200);
+    client.send(get("u" + std::to_string(i)));
+    EXPECT_EQ(status(client), 200);
   }
   EXPECT_EQ(s1.requests.size(), before);
 }
 
-TEST_F(CoordinatorTest, DrainFinishesWhatIsHeldAndTakesWhatStillComes) {
-  std::shared_ptr<Peer> held;
-  s1.on_request = [&](Peer& p, const Request_&) {
-    if (!held) {
-      held = p.shared_from_this();
+TEST_F(CoordinatorTest, DrainFinishesPendingRequestsAndAcceptsNewOnes) {
+  std::shared_ptr<Peer> pending;
+  s1.on_request = [&](Peer& peer, const Request_&) {
+    if (!pending) {
+      pending = peer.shared_from_this();
     } else {
-      p.write(reply("200 OK", "", "x"));
+      peer.write(reply("200 OK", "", "x"));
     }
   };
   s2.on_request = s1.on_request;
@@ -277,7 +279,7 @@
   idle.send("GET /profile-read/nobody HTTP/1.1\r\n\r\n");
   EXPECT_EQ(status(idle), 400);
   busy.send(get("a"));
-  ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
+  ASSERT_TRUE(rig.until([&] { return pending != nullptr; }));
   bool done = false;
   coordinator.drain([&] { done = true; });
   Client late = rig.client();
@@ -287,20 +289,20 @@
   EXPECT_EQ(answer->result_int(), 200u);
   EXPECT_FALSE(answer->keep_alive());
   EXPECT_FALSE(done);
-  held->write(reply("200 OK", "", "held"));
+  pending->write(reply("200 OK", "", "held"));
   EXPECT_EQ(status(busy), 200);
   EXPECT_TRUE(busy.ended());
   EXPECT_TRUE(rig.until([&] { return done; }));
 }
 
-TEST_F(CoordinatorTest, AClientThatConnectedBeforeTheEndMayStillSendItsRequestSlowly) {
+TEST_F(CoordinatorTest, DrainWaitsForTheSlowRequestOfAConnectedClient) {
   rig.know(member("s1", s1));
   Coordinator& coordinator = rig.start();
   Client slow = rig.client();
   bool done = false, later = false;
   ASSERT_TRUE(rig.until([&] { return s1.peers.empty(); }));
   coordinator.drain([&] { done = true; });
-  asio::steady_timer timer(rig.io, std::chrono::milliseconds(1200));  // new ones have been let in for 1 s
+  asio::steady_timer timer(rig.io, std::chrono::milliseconds(1200));  // new clients are accepted for 1 s
   timer.async_wait([&](error_code) { later = true; });
   ASSERT_TRUE(rig.until([&] { return later; }));
   EXPECT_FALSE(done);
@@ -309,7 +311,7 @@
   EXPECT_TRUE(rig.until([&] { return done; }));
 }
 
-TEST_F(CoordinatorTest, WhatIsHeldAtADrainIsAnsweredBeforeTheEarliestKillThoughItsServerHangs) {
+TEST_F(CoordinatorTest, DrainAnswersPendingRequestsBeforeTheEarliestKillThoughTheEndpointHangs) {
   // SIGKILL may come the longest deadline (3 s at most) + 0.7 s after SIGTERM, to a process held up for 0.15
   // s.
   s1.on_request = [](Peer&, const Request_&) {};
@@ -330,17 +332,17 @@
   }
 }
 
-TEST_F(CoordinatorTest, DrainClosesConnectionsBetweenRequests) {
+TEST_F(CoordinatorTest, DrainClosesIdleConnections) {
   rig.know(member("s1", s1));
   Coordinator& coordinator = rig.start();
-  Client c = rig.client();
-  c.send(get("a"));
-  ASSERT_EQ(status(c), 200);
+  Client client = rig.client();
+  client.send(get("a"));
+  ASSERT_EQ(status(client), 200);
   coordinator.drain([] {});
-  EXPECT_TRUE(c.ended());
+  EXPECT_TRUE(client.ended());
 }
 
-TEST_F(CoordinatorTest, IdleClientsMakeRoomForNewOnes) {
+TEST_F(CoordinatorTest, EvictsIdleClientsForNewOnes) {
   rig.config.max_sockets = 64;  // 32 clients
   rig.know(member("s1", s1));
   rig.start();
--- a/tests/runtime/process_test.cpp
+++ b/tests/runtime/process_test.cpp
@@ -1,67 +1,67 @@
-// The program itself: its start, a bad configuration, SIGTERM with a request held, SIGHUP.
+// The program: its start, invalid configurations, SIGTERM, SIGHUP and hot restart.
 #include "support/process.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
 
-TEST(Process, BadConfigurationIsOneLineAndNotNought) {
+TEST(Process, AnInvalidConfigurationEndsItWithOneLineAndAnError) {
   for (const char* text :
        {"", "{", "[]", "{}", R"({"name":"n","listen":"x","discovery":"127.0.0.1:1"})",
         R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":3})",
         R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{}})"}) {
-    Process p(text);
-    const std::string log = p.log_until("never");
+    Process gateway(text);
+    const std::string log = gateway.log_until("never");
     EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1) << text << " -> " << log;
-    EXPECT_GT(p.exit_code(), 0) << text;
+    EXPECT_GT(gateway.exit_code(), 0) << text;
   }
 }
 
-TEST(Process, SigtermFinishesWhatIsHeldAndExitsWithNought) {
+TEST(Process, SigtermFinishesPendingRequestsAndExitsWithSuccess) {
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
-  std::shared_ptr<Peer> held;
-  server.on_request = [&](Peer& p, const Request_&) { held = p.shared_from_this(); };
+  std::shared_ptr<Peer> pending;
+  server.on_request = [&](Peer& peer, const Request_&) { pending = peer.shared_from_this(); };
   const auto port = free_port(io);
-  Process p(config(port, server, discovery));
-  ASSERT_NE(p.log_until("ready").find("ready"), std::string::npos);
-  Client c(io, {asio::ip::address_v4::loopback(), port});
-  c.send(get("a"));
-  ASSERT_TRUE(until(io, [&] { return held != nullptr; }));
-  p.terminate();
-  ASSERT_NE(p.log_until("draining").find("draining"), std::string::npos);
-  held->write(reply("200 OK", "", "held"));
-  const auto answer = c.receive();
+  Process gateway(config(port, server, discovery));
+  ASSERT_NE(gateway.log_until("ready").find("ready"), std::string::npos);
+  Client client(io, {asio::ip::address_v4::loopback(), port});
+  client.send(get("a"));
+  ASSERT_TRUE(until(io, [&] { return pending != nullptr; }));
+  gateway.terminate();
+  ASSERT_NE(gateway.log_until("draining").find("draining"), std::string::npos);
+  pending->write(reply("200 OK", "", "held"));
+  const auto answer = client.receive();
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->body(), "held");
-  EXPECT_TRUE(c.ended());
-  EXPECT_EQ(p.exit_code(), 0);
+  EXPECT_TRUE(client.ended());
+  EXPECT_EQ(gateway.exit_code(), 0);
 }
 
-TEST(Process, SighupFollowsDiscoveryAndABadFileChangesNothing) {
+TEST(Process, SighupFollowsDiscoveryAndAnInvalidFileChangesNothing) {
   asio::io_context io;
   FakeServer server(io), moved_to(io);
   FakeDiscovery before(io), after(io);
   const auto port = free_port(io);
-  Process p(config(port, server, before));
-  ASSERT_NE(p.log_until("ready").find("ready"), std::string::npos);
+  Process gateway(config(port, server, before));
+  ASSERT_NE(gateway.log_until("ready").find("ready"), std::string::npos);
   ASSERT_TRUE(until(io, [&] { return before.asked.size() == 1; }));
-  p.reconfigure("{");
-  ASSERT_NE(p.log_until("hangup").find("hangup"), std::string::npos);
+  gateway.reconfigure("{");
+  ASSERT_NE(gateway.log_until("reconfiguration").find("reconfiguration"), std::string::npos);
   after.first = list(42, false, entry("s1", server.text(), "draining") + "," + entry("s2", moved_to.text()));
-  p.reconfigure(config(port, server, after));
+  gateway.reconfigure(config(port, server, after));
   ASSERT_TRUE(until(io, [&] { return after.asked.size() == 1; }));
   EXPECT_EQ(after.asked[0], "/catalog/members?watch=1&after=41");
-  Client c(io, {asio::ip::address_v4::loopback(), port});
-  for (int i = 0; moved_to.requests.empty() && i < 1000; ++i) {  // until it has taken the change in
-    c.send(get("t" + std::to_string(i)));
-    const auto answer = c.receive();
+  Client client(io, {asio::ip::address_v4::loopback(), port});
+  for (int i = 0; moved_to.requests.empty() && i < 1000; ++i) {  // until the update is applied
+    client.send(get("t" + std::to_string(i)));
+    const auto answer = client.receive();
     ASSERT_TRUE(answer);
   }
   EXPECT_FALSE(moved_to.requests.empty());
 }
 
-TEST(Process, ServesAmongAThousandGatewaysWithAThousandServersInOneMessage) {
+TEST(Process, ServesAmongAThousandGatewaysWithAThousandEndpointsInOneUpdate) {
   constexpr int kThousand = 1024;
   asio::io_context io;
   FakeServer before(io), after(io);
@@ -79,36 +79,36 @@
   json["settings"]["Position"] = kThousand - 1;
   json["settings"]["TiersOfService"][0]["QuotaRate"] = json["settings"]["TiersOfService"][0]["Depth"] = 1e9;
   discovery.first = "\n";
-  Process p(json.dump());
-  ASSERT_NE(p.log_until("ready").find("ready"), std::string::npos);
-  Client c(io, {asio::ip::address_v4::loopback(), port});
-  c.send(get("known"));
-  ASSERT_TRUE(c.receive());
+  Process gateway(json.dump());
+  ASSERT_NE(gateway.log_until("ready").find("ready"), std::string::npos);
+  Client client(io, {asio::ip::address_v4::loopback(), port});
+  client.send(get("known"));
+  ASSERT_TRUE(client.receive());
   EXPECT_EQ(before.requests.size(), 1u);
   ASSERT_TRUE(until(io, [&] { return discovery.asked.size() == 1; }));
   discovery.tell(list(42, true, entries("new", after)));
   for (int i = 0; after.requests.size() < 300 && i < 3000; ++i) {
-    c.send(get("t" + std::to_string(i)));
-    const auto answer = c.receive();
+    client.send(get("t" + std::to_string(i)));
+    const auto answer = client.receive();
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->result_int(), 200u);
   }
   EXPECT_EQ(after.requests.size(), 300u);
 #if !defined(__SANITIZE_ADDRESS__)
-  EXPECT_LT(p.resident(), 16 << 10);  // half of the least that a gateway may have
+  EXPECT_LT(gateway.resident(), 16 << 10);  // half of the least that a gateway may have
 #endif
 }
 
-TEST(Process, AConfigurationThatCannotBeReadForAMomentIsFollowedAfterIt) {
+TEST(Process, RetriesAConfigurationThatIsInvalidForAMoment) {
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery before(io), after(io);
   const auto port = free_port(io);
-  Process p(config(port, server, before));
-  ASSERT_NE(p.log_until(": ready").find(": ready"), std::string::npos);
-  p.reconfigure("{");
-  ASSERT_NE(p.log_until("hangup").find("hangup"), std::string::npos);
-  p.replace_config(config(port, server, after));  // with no further signal
+  Process gateway(config(port, server, before));
+  ASSERT_NE(gateway.log_until(": ready").find(": ready"), std::string::npos);
+  gateway.reconfigure("{");
+  ASSERT_NE(gateway.log_until("reconfiguration").find("reconfiguration"), std::string::npos);
+  gateway.replace_config(config(port, server, after));  // without a further signal
   EXPECT_TRUE(until(io, [&] { return after.asked.size() == 1; }));
 }
 
@@ -116,37 +116,37 @@
   double cpu_seconds = 0, megabytes = 0;
 };
 
-// What a gateway among 300 uses for a thousand requests, with so many servers.
-Usage usage_of_a_thousand_requests(int servers) {
+// What a gateway among 300 uses for a thousand requests with so many endpoints.
+Usage usage_of_thousand_requests(int endpoints) {
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
   const auto port = free_port(io);
   std::string entries;
-  for (int i = 0; i < servers; ++i)
+  for (int i = 0; i < endpoints; ++i)
     entries += (i > 0 ? "," : "") + entry("s" + std::to_string(i), server.text());
   auto json = nlohmann::json::parse(config(port, server, discovery));
   json["known"] = nlohmann::json::parse(list(41, true, entries));
   json["settings"]["ReplicasOfMe"] = 300;
   json["settings"]["TiersOfService"][0]["QuotaRate"] = json["settings"]["TiersOfService"][0]["Depth"] = 1e9;
-  Process p(json.dump());
-  EXPECT_NE(p.log_until(": ready").find(": ready"), std::string::npos);
+  Process gateway(json.dump());
+  EXPECT_NE(gateway.log_until(": ready").find(": ready"), std::string::npos);
 #if defined(__SANITIZE_ADDRESS__)
-  const double before = p.cpu_seconds();  // a sanitizer makes reading the list many times as dear
+  const double before = gateway.cpu_seconds();  // with a sanitizer, reading the list takes many times as long
 #else
   const double before = 0;
 #endif
-  Client c(io, {asio::ip::address_v4::loopback(), port});
+  Client client(io, {asio::ip::address_v4::loopback(), port});
   for (int i = 0; i < 1000; ++i) {
-    c.send(get("t" + std::to_string(i)));
-    EXPECT_TRUE(c.receive()) << i;
+    client.send(get("t" + std::to_string(i)));
+    EXPECT_TRUE(client.receive()) << i;
   }
-  return {p.cpu_seconds() - before, double(p.resident()) / 1024};
+  return {gateway.cpu_seconds() - before, double(gateway.resident()) / 1024};
 }
 
-TEST(Process, SixteenTimesTheServersTakeNoMoreThanThePageAllows) {
+TEST(Process, SixteenTimesTheEndpointsStayWithinTheAllowedResources) {
   constexpr double kThousands = 3.2;
-  const Usage usual = usage_of_a_thousand_requests(200), many = usage_of_a_thousand_requests(3200);
+  const Usage usual = usage_of_thousand_requests(200), many = usage_of_thousand_requests(3200);
   EXPECT_LE(many.cpu_seconds, 1.4 * usual.cpu_seconds + 0.02 + 0.03 * kThousands);
   EXPECT_LE(many.megabytes, 1.5 * usual.megabytes + 8 + 4 * kThousands);
   RecordProperty("cpu", std::to_string(usual.cpu_seconds) + " " + std::to_string(many.cpu_seconds));
@@ -154,8 +154,8 @@
               usual.megabytes, many.megabytes);
 }
 
-TEST(Process, IsReadyWithHundredsOfServersWhateverItsDiscoveryAndCounterDo) {
-  // Silent, full, refusing, and turning away; 10 s are owed, of which nothing is waited for.
+TEST(Process, IsReadyWithHundredsOfEndpointsWhenDiscoveryAndCounterFail) {
+  // No answer, a full backlog, a refused connection, an error status. The limit for the start is 10 s.
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery silent(io), turns_away(io), refuses(io);
@@ -180,22 +180,22 @@
       const std::string one = entry("s1", server.text());
       text.replace(text.find(one), one.size(), servers);
       const auto began = std::chrono::steady_clock::now();
-      Process p(text);
-      ASSERT_NE(p.log_until("ready").find("ready"), std::string::npos);
-      Client c(io, {asio::ip::address_v4::loopback(), port});
-      c.send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-      const auto health = c.receive();
+      Process gateway(text);
+      ASSERT_NE(gateway.log_until("ready").find("ready"), std::string::npos);
+      Client client(io, {asio::ip::address_v4::loopback(), port});
+      client.send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
+      const auto health = client.receive();
       ASSERT_TRUE(health);
       EXPECT_EQ(health->result_int(), 200u);
-      c.send(get("a"));
-      const auto answer = c.receive();
+      client.send(get("a"));
+      const auto answer = client.receive();
       ASSERT_TRUE(answer);
       EXPECT_EQ(answer->result_int(), 200u);
       EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::seconds(10));
     }
 }
 
-TEST(Process, TwoProcessesTakeClientsFromOneInheritedSocketAndTheOldOneLeavesNoneUnread) {
+TEST(Process, TwoProcessesShareOneInheritedSocketAndTheOldOneLeavesNoClientUnread) {
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
@@ -211,30 +211,30 @@
       config(port, server, discovery, R"("admin_addr":"127.0.0.1:)" + std::to_string(admin) + "\","),
       platform.native_handle());
   ASSERT_NE(after.log_until("ready").find("ready"), std::string::npos);
-  Client staff(io, {asio::ip::address_v4::loopback(), admin});
-  staff.send("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n");
-  const auto ready = staff.receive();
+  Client operator_client(io, {asio::ip::address_v4::loopback(), admin});
+  operator_client.send("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n");
+  const auto ready = operator_client.receive();
   ASSERT_TRUE(ready);
   EXPECT_EQ(ready->result_int(), 200u);
   before.terminate();
   EXPECT_EQ(before.exit_code(), 0);
   for (int i = 0; i < 20; ++i) {
-    Client c(io, platform.local_endpoint());
-    c.send(get("b" + std::to_string(i)));
-    EXPECT_TRUE(c.receive());
+    Client client(io, platform.local_endpoint());
+    client.send(get("b" + std::to_string(i)));
+    EXPECT_TRUE(client.receive());
   }
 }
 
-TEST(Process, OneProcessHandsTheGatewayToTheNextAndTakesItBackShouldThatDie) {
+TEST(Process, AHotRestartHandsOverAndIsAbortedWhenTheSuccessorDies) {
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
-  std::shared_ptr<Peer> held;
-  server.on_request = [&](Peer& p, const Request_& r) {
-    if (r["X-Trace-Id"] == "held") {
-      held = p.shared_from_this();
+  std::shared_ptr<Peer> pending;
+  server.on_request = [&](Peer& peer, const Request_& request) {
+    if (request["X-Trace-Id"] == "held") {
+      pending = peer.shared_from_this();
     } else {
-      p.write(reply("200 OK", "", "x"));
+      peer.write(reply("200 OK", "", "x"));
     }
   };
   char shared[] = "/tmp/quota-gateway-test-XXXXXX";
@@ -245,9 +245,9 @@
     return config(port, server, discovery, R"("admin_addr":"127.0.0.1:)" + std::to_string(admin) + "\",");
   };
   const auto ready = [&](std::uint16_t admin) {
-    Client staff(io, {asio::ip::address_v4::loopback(), admin});
-    staff.send("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n");
-    const auto answer = staff.receive();
+    Client operator_client(io, {asio::ip::address_v4::loopback(), admin});
+    operator_client.send("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n");
+    const auto answer = operator_client.receive();
     return answer ? int(answer->result_int()) : 0;
   };
   const auto admin1 = free_port(io), admin2 = free_port(io);
@@ -257,18 +257,18 @@
   idle.send(get("a"));
   ASSERT_TRUE(idle.receive());
   waiting.send(get("held"));
-  ASSERT_TRUE(until(io, [&] { return held != nullptr; }));
+  ASSERT_TRUE(until(io, [&] { return pending != nullptr; }));
   Process after(admin_of(admin2), platform.native_handle(), shared);
   ASSERT_NE(after.log_until("ready").find("ready"), std::string::npos);
   ASSERT_TRUE(until(io, [&] { return ready(admin2) == 200; }));
   EXPECT_EQ(ready(admin1), 503);
   EXPECT_TRUE(idle.ended());
-  Client c(io, platform.local_endpoint());
-  c.send(get("b"));
-  const auto next = c.receive();
+  Client client(io, platform.local_endpoint());
+  client.send(get("b"));
+  const auto next = client.receive();
   ASSERT_TRUE(next);
-  EXPECT_TRUE(next->keep_alive());  // the new one's
-  held->write(reply("200 OK", "", "held"));
+  EXPECT_TRUE(next->keep_alive());  // from the successor
+  pending->write(reply("200 OK", "", "held"));
   const auto last = waiting.receive();
   ASSERT_TRUE(last);
   EXPECT_EQ(last->body(), "held");
@@ -282,7 +282,7 @@
   EXPECT_EQ(before.exit_code(), 0);
   for (const char* file : {"owner.json", "open.json", "state.json"})
     ::unlink((std::string(shared) + "/" + file).c_str());
-  EXPECT_EQ(::rmdir(shared), 0);  // nothing else is left
+  EXPECT_EQ(::rmdir(shared), 0);  // no other file is left
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/runtime/request_table_test.cpp
@@ -0,0 +1,52 @@
+// The records of requests: how they are found, and when they are erased.
+#include "runtime/request_table.hpp"
+
+#include <gtest/gtest.h>
+
+namespace quota_gateway::net::testing {
+namespace {
+
+TEST(RequestTable, FindsARequestByNumberAndByText) {
+  RequestTable table;
+  const RequestRecord& request = table.create();
+  EXPECT_EQ(table.find(request.id), &request);
+  EXPECT_EQ(table.find(std::to_string(request.id)), &request);
+  EXPECT_EQ(table.find(request.id + 1), nullptr);
+  EXPECT_EQ(table.find("no number"), nullptr);
+}
+
+TEST(RequestTable, ErasesAFinishedRequestOnceItHasNoAttemptInFlight) {
+  RequestTable table;
+  RequestRecord& request = table.create();
+  const RequestId id = request.id;
+  table.retire_if_finished(request);
+  table.erase_finished();
+  ASSERT_EQ(table.find(id), &request);  // not answered
+  request.response = ResponseState::kClosed;
+  table.retire_if_finished(request);
+  request.attempts_in_flight = 1;  // sent in the batch that reported the end
+  table.erase_finished();
+  ASSERT_EQ(table.find(id), &request);
+  request.attempts_in_flight = 0;
+  table.retire_if_finished(request);
+  table.erase_finished();
+  EXPECT_EQ(table.find(id), nullptr);
+}
+
+TEST(RequestTable, ListsUnansweredRequestsWithALaterDeadline) {
+  RequestTable table;
+  RequestRecord& early = table.create();
+  early.deadline = 10;
+  RequestRecord& late = table.create();
+  late.deadline = 20;
+  EXPECT_TRUE(table.has_unanswered());
+  EXPECT_EQ(table.unanswered_after(10), std::vector<RequestId>{late.id});
+  late.response = ResponseState::kClosed;
+  EXPECT_TRUE(table.unanswered_after(10).empty());
+  EXPECT_TRUE(table.has_unanswered());
+  early.response = ResponseState::kStreamed;
+  EXPECT_FALSE(table.has_unanswered());
+}
+
+}  // namespace
+}  // namespace quota_gateway::net::testing
--- a/tests/runtime/system_call_fault_test.cpp
+++ b/tests/runtime/system_call_fault_test.cpp
@@ -1,6 +1,8 @@
-// The program itself while system calls fail as Linux documents, and clients that stop amid a request.
+// The program while system calls fail in ways that Linux documents, and while clients stall.
 #include <filesystem>
 
+#include "restart/hot_restart.hpp"
+#include "runtime/clock.hpp"
 #include "support/process.hpp"
 
 namespace quota_gateway::net::testing {
@@ -10,7 +12,7 @@
 
 class FaultTest : public ::testing::Test {
  protected:
-  // Starts the gateway, whose system calls fail so, and waits until it serves.
+  // Starts the gateway with injected faults and waits until it is ready.
   Process& start(const std::string& faults = "") {
     auto json = nlohmann::json::parse(config(port, server, discovery));
     json["settings"]["TiersOfService"][0]["QuotaRate"] = json["settings"]["TiersOfService"][0]["Depth"] = 1e6;
@@ -18,19 +20,19 @@
     EXPECT_NE(process->log_until(": ready").find(": ready"), std::string::npos);
     return *process;
   }
-  Client client() { return {io, {asio::ip::address_v4::loopback(), port}}; }
+  Client connect_client() { return {io, {asio::ip::address_v4::loopback(), port}}; }
   void expect_served(const std::string& id) {
-    Client c = client();
-    c.send(get(id));
-    const auto answer = c.receive();
+    Client client = connect_client();
+    client.send(get(id));
+    const auto answer = client.receive();
     ASSERT_TRUE(answer) << id;
     EXPECT_EQ(answer->result_int(), 200u) << id;
   }
   // Seconds until the client has an answer or the end of its connection.
-  double seconds_until_over(Client& c) {
+  double seconds_until_response(Client& client) {
     const auto began = SteadyClock::now();
     std::optional<error_code> done;
-    c.socket.async_wait(tcp::socket::wait_read, [&](error_code ec) { done = ec; });
+    client.socket.async_wait(tcp::socket::wait_read, [&](error_code ec) { done = ec; });
     EXPECT_TRUE(until(io, [&] { return done.has_value(); }));
     return std::chrono::duration<double>(SteadyClock::now() - began).count();
   }
@@ -39,13 +41,13 @@
            "Plan: plan-group\r\nX-Expires-In: 4000m\r\nContent-Length: " +
            std::to_string(size) + "\r\nQuota-Info: units=1,spread=3,first=0\r\n\r\n";
   }
-  // A request whose client waits for less than its class's aim.
-  static std::string with_patience(const std::string& id, const std::string& patience) {
+  // A request whose client waits for less than the latency objective of its class.
+  static std::string with_timeout(const std::string& id, const std::string& timeout) {
     std::string request = get(id);
-    return request.replace(request.find("4000m"), 5, patience);
+    return request.replace(request.find("4000m"), 5, timeout);
   }
-  // Microseconds that the server was told for that attempt.
-  long long told_at(std::size_t attempt) {
+  // The timeout in microseconds that the endpoint received with that attempt.
+  long long forwarded_timeout(std::size_t attempt) {
     return std::stoll(std::string(server.requests.at(attempt)["X-Expires-In"]));
   }
   asio::io_context io;
@@ -55,10 +57,10 @@
   std::optional<Process> process;
 };
 
-TEST_F(FaultTest, AClientThatStopsAmidItsRequestHasAnErrorOrACloseWithinThreeSeconds) {
-  constexpr double kOwed = 3;
+TEST_F(FaultTest, AStalledClientGetsAnErrorOrACloseWithinThreeSeconds) {
+  constexpr double kMaxStallSeconds = 3;
   start();
-  Client head = client(), body = client(), fresh = client();
+  Client head = connect_client(), body = connect_client(), fresh = connect_client();
   for (Client* c : {&head, &body}) {
     c->send(get("whole"));
     ASSERT_TRUE(c->receive());
@@ -68,14 +70,14 @@
   fresh.send(large_post(200'000) + std::string(120'000, 'x'));
   const auto began = SteadyClock::now();
   for (Client* c : {&head, &body, &fresh}) {
-    seconds_until_over(*c);
-    EXPECT_LT(SteadyClock::now() - began, std::chrono::duration<double>(kOwed));
+    seconds_until_response(*c);
+    EXPECT_LT(SteadyClock::now() - began, std::chrono::duration<double>(kMaxStallSeconds));
   }
 }
 
-TEST_F(FaultTest, AClientThatWritesSlowlyIsServed) {
+TEST_F(FaultTest, ASlowClientIsServed) {
   start();
-  Client head = client(), body = client();
+  Client head = connect_client(), body = connect_client();
   head.send(get("whole"));
   ASSERT_TRUE(head.receive());
   const std::string request = get("slow");
@@ -99,12 +101,12 @@
   EXPECT_EQ(second->result_int(), 200u);
 }
 
-TEST_F(FaultTest, InterruptedReadsWritesAndWaitsResetNobody) {
+TEST_F(FaultTest, InterruptedSystemCallsResetNoConnection) {
   start("random:7:300");
   for (int i = 0; i < 40; ++i) expect_served("t" + std::to_string(i));
 }
 
-TEST_F(FaultTest, AClientBehindAnAbortedConnectionIsServedThoughNoOtherComes) {
+TEST_F(FaultTest, AClientBehindAnAbortedConnectionIsServedWithoutAFurtherConnection) {
   // ECONNABORTED, ENFILE, ENOBUFS and EMFILE, each with the client already in the backlog.
   for (const int error : {103, 23, 105, 24}) {
     start("accept:" + std::to_string(error) + ":2");
@@ -114,9 +116,9 @@
   }
 }
 
-TEST_F(FaultTest, AFailedAcceptEndsNoOtherClient) {
+TEST_F(FaultTest, AFailedAcceptDisconnectsNoOtherClient) {
   start("accept:23:3:200");
-  Client idle = client();
+  Client idle = connect_client();
   idle.send(get("a"));
   ASSERT_TRUE(idle.receive());
   wait(io, 250);
@@ -125,23 +127,23 @@
   EXPECT_TRUE(idle.receive());
 }
 
-TEST_F(FaultTest, AStepOfTheWallClockIsSeenAndMovesNoDeadline) {
+TEST_F(FaultTest, AWallClockStepIsLoggedAndMovesNoDeadline) {
   for (const char* step : {"wall:3600:200", "wall:-3600:200"}) {
-    Process& p = start(step);
+    Process& gateway = start(step);
     wait(io, 250);
     expect_served("a");
-    EXPECT_NE(p.log_until("stepped").find("wall clock was stepped"), std::string::npos);
+    EXPECT_NE(gateway.log_until("stepped").find("wall clock was stepped"), std::string::npos);
     server.on_request = [](Peer&, const Request_&) {};
-    Client c = client();
-    c.send(with_patience("b", "300m"));
-    EXPECT_NEAR(seconds_until_over(c), 0.3, 0.1);
+    Client client = connect_client();
+    client.send(with_timeout("b", "300m"));
+    EXPECT_NEAR(seconds_until_response(client), 0.3, 0.1);
     server.on_request = [](Peer& peer, const Request_&) { peer.write(reply("200 OK")); };
     process.reset();
     port = free_port(io);
   }
 }
 
-TEST_F(FaultTest, ASuccessorGoesOnByThePredecessorsClockOverAStepOfTheWallClock) {
+TEST_F(FaultTest, ASuccessorContinuesTheClockOfItsPredecessor) {
   char shared[] = "/tmp/quota-gateway-test-XXXXXX";
   ASSERT_NE(::mkdtemp(shared), nullptr);
   EXPECT_FALSE(predecessor_clock_offset(shared));
@@ -159,54 +161,54 @@
   EXPECT_EQ(::rmdir(shared), 0);
 }
 
-TEST_F(FaultTest, ABacklogWhoseAcceptFailsIsReadBeforeTheEnd) {
-  Process& p = start("accept:103:400");
-  Client c = client();
-  c.send(get("a"));
-  p.terminate();
-  const auto answer = c.receive();
+TEST_F(FaultTest, ABacklogWithFailingAcceptsIsServedBeforeTheExit) {
+  Process& gateway = start("accept:103:400");
+  Client client = connect_client();
+  client.send(get("a"));
+  gateway.terminate();
+  const auto answer = client.receive();
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->result_int(), 200u);
-  EXPECT_EQ(p.exit_code(), 0);
+  EXPECT_EQ(gateway.exit_code(), 0);
 }
 
-TEST_F(FaultTest, AServerIsToldWhatTheClientHasLeftThoughItsConnectionWaitedToBeAccepted) {
+TEST_F(FaultTest, TheForwardedTimeoutCountsTheWaitForTheAccept) {
   start("accept:23:30");  // each is followed by another try after 20 ms
-  Client c = client();
-  c.send(with_patience("a", "2000m"));
-  ASSERT_TRUE(c.receive());
-  EXPECT_LE(told_at(0), 2'000'000 - 600'000 + 150'000);
+  Client client = connect_client();
+  client.send(with_timeout("a", "2000m"));
+  ASSERT_TRUE(client.receive());
+  EXPECT_LE(forwarded_timeout(0), 2'000'000 - 600'000 + 150'000);
 }
 
-TEST_F(FaultTest, AServerIsToldWhatTheClientHasLeftThoughItsRequestWaitedBehindAnother) {
+TEST_F(FaultTest, TheForwardedTimeoutCountsTheWaitBehindAPipelinedRequest) {
   start();
-  std::shared_ptr<Peer> held;
-  server.on_request = [&](Peer& p, const Request_&) { held = p.shared_from_this(); };
-  Client c = client();
-  c.send(with_patience("first", "2000m") + with_patience("second", "2000m"));
-  ASSERT_TRUE(until(io, [&] { return held != nullptr; }));
+  std::shared_ptr<Peer> pending;
+  server.on_request = [&](Peer& peer, const Request_&) { pending = peer.shared_from_this(); };
+  Client client = connect_client();
+  client.send(with_timeout("first", "2000m") + with_timeout("second", "2000m"));
+  ASSERT_TRUE(until(io, [&] { return pending != nullptr; }));
   wait(io, 1'000);
-  held->write(reply("200 OK"));
+  pending->write(reply("200 OK"));
   ASSERT_TRUE(until(io, [&] { return server.requests.size() == 2; }));
-  EXPECT_LE(told_at(1), 2'000'000 - 1'000'000 + 150'000);
+  EXPECT_LE(forwarded_timeout(1), 2'000'000 - 1'000'000 + 150'000);
 }
 
-TEST_F(FaultTest, AConnectThatFailsHereIsTriedAgainAndNotHeldAgainstItsServer) {
+TEST_F(FaultTest, ALocalConnectFailureIsRetriedAndNotCountedAgainstTheEndpoint) {
   start("connect:99:8:100 socket:23:2:100");  // discovery's watch is up by then
   wait(io, 150);
   for (int i = 0; i < 3; ++i) expect_served("t" + std::to_string(i));
 }
 
-TEST_F(FaultTest, ABindThatFailsForAMomentAtTheStartIsTriedAgain) {
+TEST_F(FaultTest, AFailedBindAtTheStartIsRetried) {
   start("bind:98:3 socket:23:1");
   expect_served("a");
 }
 
-// With a folder that lasts and a second address.
-class FolderTest : public FaultTest {
+// With a shared directory and an admin address.
+class SharedDirectoryTest : public FaultTest {
  protected:
-  FolderTest() { EXPECT_NE(::mkdtemp(shared), nullptr); }
-  ~FolderTest() override {
+  SharedDirectoryTest() { EXPECT_NE(::mkdtemp(shared), nullptr); }
+  ~SharedDirectoryTest() override {
     process.reset();
     after.reset();
     std::error_code ignored;
@@ -216,16 +218,16 @@
     return config(port, server, discovery, R"("admin_addr":"127.0.0.1:)" + std::to_string(at) + "\",");
   }
   int call(std::uint16_t at, const std::string& line) {
-    Client staff(io, {asio::ip::address_v4::loopback(), at});
-    staff.send(line + " HTTP/1.1\r\nHost: n0\r\n\r\n");
-    const auto answer = staff.receive();
+    Client operator_client(io, {asio::ip::address_v4::loopback(), at});
+    operator_client.send(line + " HTTP/1.1\r\nHost: n0\r\n\r\n");
+    const auto answer = operator_client.receive();
     return answer ? int(answer->result_int()) : 0;
   }
-  std::string kept() {
+  std::string stored_endpoints() {
     std::ifstream file(std::string(shared) + "/disabled.json");
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  void start_in_folder(const std::string& faults) {
+  void start_in_shared_directory(const std::string& faults) {
     process.emplace(with_admin(admin), -1, shared, faults);
     ASSERT_NE(process->log_until(": ready").find(": ready"), std::string::npos);
   }
@@ -234,11 +236,11 @@
   std::optional<Process> after;
 };
 
-TEST_F(FolderTest, AServerTakenOutByHandIsOnDiskWhenStaffHearYesThoughWritesFailForAWhile) {
+TEST_F(SharedDirectoryTest, ADisabledEndpointIsOnDiskBeforeItIsConfirmedThoughWritesFailForAWhile) {
   for (const char* faults : {"write:28:3", "fsync:5:2"}) {
-    start_in_folder(faults);
+    start_in_shared_directory(faults);
     EXPECT_EQ(call(admin, "POST /-/booking-servers/s1/disable"), 200);
-    EXPECT_EQ(kept(), R"(["s1"])");
+    EXPECT_EQ(stored_endpoints(), R"(["s1"])");
     process->kill();
     process.reset();
     std::filesystem::remove(std::string(shared) + "/disabled.json");
@@ -246,16 +248,16 @@
   }
 }
 
-TEST_F(FolderTest, StaffHearNoWhenWhatTheyWantCannotBeKeptAndNothingChanges) {
-  start_in_folder("fsync:5:1000000");
+TEST_F(SharedDirectoryTest, AChangeThatCannotBeStoredIsReportedAndHasNoEffect) {
+  start_in_shared_directory("fsync:5:1000000");
   const auto began = SteadyClock::now();
   EXPECT_EQ(call(admin, "POST /-/booking-servers/s1/disable"), 503);
   EXPECT_LT(SteadyClock::now() - began, std::chrono::seconds(1));
-  EXPECT_EQ(kept(), "");
+  EXPECT_EQ(stored_endpoints(), "");
   expect_served("a");
 }
 
-TEST_F(FolderTest, AnUpgradeGoesOnThoughWritesFailForAWhileInEitherProcess) {
+TEST_F(SharedDirectoryTest, AHotRestartSucceedsThoughWritesFailForAWhileInEitherProcess) {
   for (const auto& [old_faults, new_faults] :
        {std::pair("write:28:3:300", ""), std::pair("", "write:28:3")}) {
     tcp::acceptor platform(io, {asio::ip::address_v4::loopback(), 0});
