--- a/src/restart/hot_restart.hpp
+++ b/src/restart/hot_restart.hpp
@@ -20,7 +20,7 @@
 [[nodiscard]] std::optional<Duration> predecessor_clock_offset(const std::string& directory);
 
 // The protocol between two processes, which runs over files in their shared directory:
-// - A new process writes its token to owner.json. Its predecessor finds it there, stops to accept clients and
+// - A new process writes its token to owner.json. Its predecessor finds it there, stops accepting clients and
 //   stores its state in state.json. The new process reads this and starts to serve.
 // - The predecessor reports its remaining attempts in open.json until there are none.
 // - If the successor ends, the predecessor claims owner.json again and continues to serve.
@@ -30,7 +30,7 @@
   struct Callbacks {
     // This process may accept clients now, from the restored state if there is one, else null.
     std::function<void(const HotRestartState*)> on_start;
-    // A successor is there: stop to accept clients and return the state for it.
+    // A successor has started: stop accepting clients and return the state for it.
     std::function<HotRestartState()> begin;
     // Attempts that this process still has in flight, by customer.
     std::function<AttemptCounts()> attempts_in_flight;
--- a/src/runtime/configuration.hpp
+++ b/src/runtime/configuration.hpp
@@ -36,7 +36,7 @@
 class ConfigError : public std::runtime_error {
  public:
   // `path` is a path in the JSON, such as "limits.sockets", or the name of an environment variable; empty for
-  // the whole document.
+  // the document itself.
   ConfigError(const std::string& path, const std::string& reason);
 
   [[nodiscard]] const std::string& path() const { return path_; }
--- a/src/runtime/graceful_shutdown.hpp
+++ b/src/runtime/graceful_shutdown.hpp
@@ -30,7 +30,7 @@
   RequestForwarder& forwarder_;
   const Duration max_client_timeout_;
   std::function<void()> on_drained_;
-  TimePoint deadline_ = 0;  // of the whole shutdown
+  TimePoint deadline_ = 0;  // when the process exits at the latest
 };
 
 }  // namespace quota_gateway::net
--- a/src/runtime/request_forwarder.cpp
+++ b/src/runtime/request_forwarder.cpp
@@ -161,7 +161,7 @@
   if (request == nullptr || request->is_answered()) return;
   const AttemptRecord& attempt = request->attempt(key.attempt);
   request->response = ResponseState::kStreamed;
-  // An endpoint may respond before it has received the whole body. The client's time then starts here.
+  // An endpoint may respond before it has received the complete body. The client's time then starts here.
   if (request->is_uploading()) {
     start_deadline(*request, timers_.now());
     schedule_attempt_timeout(key, request->deadline);
--- a/src/runtime/request_table.hpp
+++ b/src/runtime/request_table.hpp
@@ -17,7 +17,7 @@
 enum class ResponseState {
   kPending,   // no final response yet
   kStreamed,  // the response of an attempt is forwarded in chunks; it has started and may be complete
-  kClosed,    // the final response was sent as a whole, or the client has disconnected
+  kClosed,    // the final response was sent at once, or the client has disconnected
 };
 
 struct AttemptRecord {
--- a/tests/restart/stored_files_test.cpp
+++ b/tests/restart/stored_files_test.cpp
@@ -25,7 +25,7 @@
 constexpr const char* kSteady = "00000000000000c3";     // has a wide quota
 constexpr const char* kFresh = "00000000000000d4";      // is not in the files
 
-Micros steady_now() {
+TimePoint steady_now() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
@@ -69,7 +69,7 @@
     EXPECT_NE(::mkdtemp(name), nullptr);
     directory = name;
     servers[0].on_request = [this](Peer& peer, const Request_& request) {
-      if (request["X-Trace-Id"] == "held") return;
+      if (request["X-Trace-Id"] == "pending") return;
       peer.write(reply("200 OK", "", "x"));
     };
     for (int i = 1; i < 3; ++i)
@@ -134,13 +134,14 @@
     Client waiting(io, platform.local_endpoint());
     const std::size_t before = servers[0].requests.size() + servers[1].requests.size();
     servers[1].on_request = [](Peer&, const Request_&) {};
-    waiting.send(request("held", kBusy, "single"));
+    waiting.send(request("pending", kBusy, "single"));
     ASSERT_TRUE(until(io, [&] { return servers[0].requests.size() + servers[1].requests.size() > before; }));
     json fixture_owner = json::parse(read_text(directory / "owner.json"));
     const LivenessLockFile successor(directory, "successor");
     write_json(directory / "owner.json", {{"token", "successor"}, {"clock", 0}});
     ASSERT_TRUE(until(io, [&] { return fs::exists(directory / "open.json"); }));
-    fixture_owner["recorded_at"] = fixture_owner["clock"].get<Micros>() + steady_now();  // for the test only
+    fixture_owner["recorded_at"] =
+        fixture_owner["clock"].get<TimePoint>() + steady_now();  // for the test only
     std::ofstream(std::string(kFixtures) + "owner.json") << fixture_owner.dump();
     for (const char* file : {"state.json", "open.json", "disabled.json"})
       fs::copy_file(directory / file, kFixtures + std::string(file), fs::copy_options::overwrite_existing);
@@ -171,7 +172,7 @@
   if (std::getenv("QUOTA_GATEWAY_UPDATE_FIXTURES") != nullptr) record();
   json before = json::parse(read_text(kFixtures + std::string("owner.json")));
   const std::string predecessor = before.at("token");
-  before["clock"] = before.at("recorded_at").get<Micros>() + 100'000 - steady_now();
+  before["clock"] = before.at("recorded_at").get<TimePoint>() + 100'000 - steady_now();
   before.erase("recorded_at");
   write_json(directory / "owner.json", before);
   fs::copy_file(kFixtures + std::string("disabled.json"), directory / "disabled.json");
--- a/tests/runtime/coordinator_test.cpp
+++ b/tests/runtime/coordinator_test.cpp
@@ -15,7 +15,10 @@
     return answer ? int(answer->result_int()) : 0;
   }
   Rig rig;
-  FakeServer s1{rig.io}, s2{rig.io}, s3{rig.io}, s4{rig.io};
+  FakeServer s1{rig.io};
+  FakeServer s2{rig.io};
+  FakeServer s3{rig.io};
+  FakeServer s4{rig.io};
 };
 
 TEST_F(CoordinatorTest, ForwardsRequestsUnchangedAndReusesTheConnection) {
@@ -76,7 +79,9 @@
 TEST_F(CoordinatorTest, ClosesConnectionsWithoutACompleteRequestAndKeepsIdleClients) {
   rig.know(member("s1", s1));
   rig.start();
-  Client known = rig.client(), silent = rig.client(), partial = rig.client();
+  Client known = rig.client();
+  Client silent = rig.client();
+  Client partial = rig.client();
   known.send(get("a"));
   EXPECT_EQ(status(known), 200);
   partial.send(get("b").substr(0, 40));
@@ -122,8 +127,10 @@
       peer.write(reply("200 OK", "", "x"));
     };
   };
-  s1.on_request = s2.on_request = serve("one");
-  s3.on_request = s4.on_request = serve("two");
+  s1.on_request = serve("one");
+  s2.on_request = serve("one");
+  s3.on_request = serve("two");
+  s4.on_request = serve("two");
   rig.know(member("s1", s1, 1));
   rig.know(member("s2", s2, 1));
   rig.know(member("s3", s3, 2));
@@ -159,7 +166,8 @@
     if (++attempts == 1) return peer.write(reply("503 Full", "X-Never-Ran: 1\r\n"));
     peer.write(reply("200 OK", "", "x"));
   };
-  s1.on_request = s2.on_request = busy;
+  s1.on_request = busy;
+  s2.on_request = busy;
   rig.know(member("s1", s1, 1));
   rig.know(member("s2", s2, 2));
   rig.start();
@@ -275,7 +283,8 @@
   rig.know(member("s1", s1));
   rig.know(member("s2", s2));
   Coordinator& coordinator = rig.start();
-  Client idle = rig.client(), busy = rig.client();
+  Client idle = rig.client();
+  Client busy = rig.client();
   idle.send("GET /profile-read/nobody HTTP/1.1\r\n\r\n");
   EXPECT_EQ(status(idle), 400);
   busy.send(get("a"));
@@ -289,7 +298,7 @@
   EXPECT_EQ(answer->result_int(), 200u);
   EXPECT_FALSE(answer->keep_alive());
   EXPECT_FALSE(done);
-  pending->write(reply("200 OK", "", "held"));
+  pending->write(reply("200 OK", "", "pending"));
   EXPECT_EQ(status(busy), 200);
   EXPECT_TRUE(busy.ended());
   EXPECT_TRUE(rig.until([&] { return done; }));
@@ -299,7 +308,8 @@
   rig.know(member("s1", s1));
   Coordinator& coordinator = rig.start();
   Client slow = rig.client();
-  bool done = false, later = false;
+  bool done = false;
+  bool later = false;
   ASSERT_TRUE(rig.until([&] { return s1.peers.empty(); }));
   coordinator.drain([&] { done = true; });
   asio::steady_timer timer(rig.io, std::chrono::milliseconds(1200));  // new clients are accepted for 1 s
@@ -312,13 +322,15 @@
 }
 
 TEST_F(CoordinatorTest, DrainAnswersPendingRequestsBeforeTheEarliestKillThoughTheEndpointHangs) {
-  // SIGKILL may come the longest deadline (3 s at most) + 0.7 s after SIGTERM, to a process held up for 0.15
-  // s.
+  // SIGKILL may come the longest deadline (3 s at most) + 0.7 s after SIGTERM, to a process descheduled for
+  // 0.15 s.
   s1.on_request = [](Peer&, const Request_&) {};
   rig.config.settings.allow_cancel = false;
   rig.know(member("s1", s1));
   Coordinator& coordinator = rig.start();
-  Client before = rig.client(), after = rig.client(), late = rig.client();
+  Client before = rig.client();
+  Client after = rig.client();
+  Client late = rig.client();
   before.send(post("before"));
   ASSERT_TRUE(rig.until([&] { return s1.requests.size() == 1; }));
   const auto began = std::chrono::steady_clock::now();
--- a/tests/runtime/process_test.cpp
+++ b/tests/runtime/process_test.cpp
@@ -30,18 +30,20 @@
   ASSERT_TRUE(until(io, [&] { return pending != nullptr; }));
   gateway.terminate();
   ASSERT_NE(gateway.log_until("draining").find("draining"), std::string::npos);
-  pending->write(reply("200 OK", "", "held"));
+  pending->write(reply("200 OK", "", "pending"));
   const auto answer = client.receive();
   ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->body(), "held");
+  EXPECT_EQ(answer->body(), "pending");
   EXPECT_TRUE(client.ended());
   EXPECT_EQ(gateway.exit_code(), 0);
 }
 
 TEST(Process, SighupFollowsDiscoveryAndAnInvalidFileChangesNothing) {
   asio::io_context io;
-  FakeServer server(io), moved_to(io);
-  FakeDiscovery before(io), after(io);
+  FakeServer server(io);
+  FakeServer moved_to(io);
+  FakeDiscovery before(io);
+  FakeDiscovery after(io);
   const auto port = free_port(io);
   Process gateway(config(port, server, before));
   ASSERT_NE(gateway.log_until("ready").find("ready"), std::string::npos);
@@ -64,7 +66,8 @@
 TEST(Process, ServesAmongAThousandGatewaysWithAThousandEndpointsInOneUpdate) {
   constexpr int kThousand = 1024;
   asio::io_context io;
-  FakeServer before(io), after(io);
+  FakeServer before(io);
+  FakeServer after(io);
   FakeDiscovery discovery(io);
   const auto entries = [&](const std::string& name, const Listener& at) {
     std::string out;
@@ -77,7 +80,9 @@
   json["known"] = nlohmann::json::parse(list(41, true, entries("old", before)));
   json["settings"]["ReplicasOfMe"] = kThousand;
   json["settings"]["Position"] = kThousand - 1;
-  json["settings"]["TiersOfService"][0]["QuotaRate"] = json["settings"]["TiersOfService"][0]["Depth"] = 1e9;
+  auto& plan = json["settings"]["TiersOfService"][0];
+  plan["QuotaRate"] = 1e9;
+  plan["Depth"] = 1e9;
   discovery.first = "\n";
   Process gateway(json.dump());
   ASSERT_NE(gateway.log_until("ready").find("ready"), std::string::npos);
@@ -102,7 +107,8 @@
 TEST(Process, RetriesAConfigurationThatIsInvalidForAMoment) {
   asio::io_context io;
   FakeServer server(io);
-  FakeDiscovery before(io), after(io);
+  FakeDiscovery before(io);
+  FakeDiscovery after(io);
   const auto port = free_port(io);
   Process gateway(config(port, server, before));
   ASSERT_NE(gateway.log_until(": ready").find(": ready"), std::string::npos);
@@ -113,7 +119,8 @@
 }
 
 struct Usage {
-  double cpu_seconds = 0, megabytes = 0;
+  double cpu_seconds = 0;
+  double megabytes = 0;
 };
 
 // What a gateway among 300 uses for a thousand requests with so many endpoints.
@@ -128,7 +135,9 @@
   auto json = nlohmann::json::parse(config(port, server, discovery));
   json["known"] = nlohmann::json::parse(list(41, true, entries));
   json["settings"]["ReplicasOfMe"] = 300;
-  json["settings"]["TiersOfService"][0]["QuotaRate"] = json["settings"]["TiersOfService"][0]["Depth"] = 1e9;
+  auto& plan = json["settings"]["TiersOfService"][0];
+  plan["QuotaRate"] = 1e9;
+  plan["Depth"] = 1e9;
   Process gateway(json.dump());
   EXPECT_NE(gateway.log_until(": ready").find(": ready"), std::string::npos);
 #if defined(__SANITIZE_ADDRESS__)
@@ -146,7 +155,8 @@
 
 TEST(Process, SixteenTimesTheEndpointsStayWithinTheAllowedResources) {
   constexpr double kThousands = 3.2;
-  const Usage usual = usage_of_thousand_requests(200), many = usage_of_thousand_requests(3200);
+  const Usage usual = usage_of_thousand_requests(200);
+  const Usage many = usage_of_thousand_requests(3200);
   EXPECT_LE(many.cpu_seconds, 1.4 * usual.cpu_seconds + 0.02 + 0.03 * kThousands);
   EXPECT_LE(many.megabytes, 1.5 * usual.megabytes + 8 + 4 * kThousands);
   RecordProperty("cpu", std::to_string(usual.cpu_seconds) + " " + std::to_string(many.cpu_seconds));
@@ -158,7 +168,9 @@
   // No answer, a full backlog, a refused connection, an error status. The limit for the start is 10 s.
   asio::io_context io;
   FakeServer server(io);
-  FakeDiscovery silent(io), turns_away(io), refuses(io);
+  FakeDiscovery silent(io);
+  FakeDiscovery turns_away(io);
+  FakeDiscovery refuses(io);
   FakeCounter counter(io);
   silent.mute = true;
   turns_away.instead.assign(100, reply("503 No"));
@@ -231,7 +243,7 @@
   FakeDiscovery discovery(io);
   std::shared_ptr<Peer> pending;
   server.on_request = [&](Peer& peer, const Request_& request) {
-    if (request["X-Trace-Id"] == "held") {
+    if (request["X-Trace-Id"] == "pending") {
       pending = peer.shared_from_this();
     } else {
       peer.write(reply("200 OK", "", "x"));
@@ -250,13 +262,15 @@
     const auto answer = operator_client.receive();
     return answer ? int(answer->result_int()) : 0;
   };
-  const auto admin1 = free_port(io), admin2 = free_port(io);
+  const auto admin1 = free_port(io);
+  const auto admin2 = free_port(io);
   Process before(admin_of(admin1), platform.native_handle(), shared);
   ASSERT_NE(before.log_until("ready").find("ready"), std::string::npos);
-  Client waiting(io, platform.local_endpoint()), idle(io, platform.local_endpoint());
+  Client waiting(io, platform.local_endpoint());
+  Client idle(io, platform.local_endpoint());
   idle.send(get("a"));
   ASSERT_TRUE(idle.receive());
-  waiting.send(get("held"));
+  waiting.send(get("pending"));
   ASSERT_TRUE(until(io, [&] { return pending != nullptr; }));
   Process after(admin_of(admin2), platform.native_handle(), shared);
   ASSERT_NE(after.log_until("ready").find("ready"), std::string::npos);
@@ -268,10 +282,10 @@
   const auto next = client.receive();
   ASSERT_TRUE(next);
   EXPECT_TRUE(next->keep_alive());  // from the successor
-  pending->write(reply("200 OK", "", "held"));
+  pending->write(reply("200 OK", "", "pending"));
   const auto last = waiting.receive();
   ASSERT_TRUE(last);
-  EXPECT_EQ(last->body(), "held");
+  EXPECT_EQ(last->body(), "pending");
   EXPECT_FALSE(last->keep_alive());
   after.kill();
   ASSERT_TRUE(until(io, [&] { return ready(admin1) == 200; }));
--- a/tests/runtime/system_call_fault_test.cpp
+++ b/tests/runtime/system_call_fault_test.cpp
@@ -15,7 +15,9 @@
   // Starts the gateway with injected faults and waits until it is ready.
   Process& start(const std::string& faults = "") {
     auto json = nlohmann::json::parse(config(port, server, discovery));
-    json["settings"]["TiersOfService"][0]["QuotaRate"] = json["settings"]["TiersOfService"][0]["Depth"] = 1e6;
+    auto& plan = json["settings"]["TiersOfService"][0];
+    plan["QuotaRate"] = 1e6;
+    plan["Depth"] = 1e6;
     process.emplace(json.dump(), -1, "", faults);
     EXPECT_NE(process->log_until(": ready").find(": ready"), std::string::npos);
     return *process;
@@ -60,9 +62,11 @@
 TEST_F(FaultTest, AStalledClientGetsAnErrorOrACloseWithinThreeSeconds) {
   constexpr double kMaxStallSeconds = 3;
   start();
-  Client head = connect_client(), body = connect_client(), fresh = connect_client();
+  Client head = connect_client();
+  Client body = connect_client();
+  Client fresh = connect_client();
   for (Client* c : {&head, &body}) {
-    c->send(get("whole"));
+    c->send(get("complete"));
     ASSERT_TRUE(c->receive());
   }
   head.send(get("part").substr(0, 40));
@@ -77,8 +81,9 @@
 
 TEST_F(FaultTest, ASlowClientIsServed) {
   start();
-  Client head = connect_client(), body = connect_client();
-  head.send(get("whole"));
+  Client head = connect_client();
+  Client body = connect_client();
+  head.send(get("complete"));
   ASSERT_TRUE(head.receive());
   const std::string request = get("slow");
   head.send(request.substr(0, 30));
@@ -232,7 +237,8 @@
     ASSERT_NE(process->log_until(": ready").find(": ready"), std::string::npos);
   }
   char shared[32] = "/tmp/quota-gateway-test-XXXXXX";
-  std::uint16_t admin = free_port(io), admin_after = free_port(io);
+  std::uint16_t admin = free_port(io);
+  std::uint16_t admin_after = free_port(io);
   std::optional<Process> after;
 };
 
