--- a/src/client/client_request.cpp
+++ b/src/client/client_request.cpp
@@ -10,81 +10,111 @@
 
 namespace http = boost::beast::http;
 
-constexpr Micros kMaxTimeout = 3600'000'000;
+constexpr Duration kMaxTimeout = 3600'000'000;  // us
+constexpr double kMaxQuotaNumber = 1e6;         // larger values of Quota-Info are cut to this
+constexpr std::size_t kCustomerIdLength = 16;   // hexadecimal digits
 
-std::string_view view(boost::beast::string_view s) { return {s.data(), s.size()}; }
+std::string_view to_view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-double number(std::string_view text, const char* what) {
+// A finite number that is not negative. `header` names the source in the error.
+double parse_number(std::string_view text, const char* header) {
   double value = 0;
-  const auto [stop, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (ec != std::errc() || stop != text.data() + text.size() || !std::isfinite(value) || value < 0)
-    throw BadRequest(std::string("bad ") + what);
+  const char* const end = text.data() + text.size();
+  const auto [stop, ec] = std::from_chars(text.data(), end, value);
+  if (ec != std::errc() || stop != end || !std::isfinite(value) || value < 0)
+    throw BadRequest(std::string("bad ") + header);
   return value;
 }
 
-Micros parse_timeout(std::string_view text) {
+// A number with its unit: `m` for milliseconds, `u` for microseconds.
+Duration parse_timeout(std::string_view text) {
   if (text.size() < 2) throw BadRequest("bad X-Expires-In");
   const char unit = text.back();
   if (unit != 'm' && unit != 'u') throw BadRequest("bad X-Expires-In");
-  const double value = number(text.substr(0, text.size() - 1), "X-Expires-In") * (unit == 'm' ? 1000 : 1);
-  return Micros(std::min(value, double(kMaxTimeout)));
+  const double microseconds_per_unit = unit == 'm' ? 1000 : 1;
+  const double value = parse_number(text.substr(0, text.size() - 1), "X-Expires-In") * microseconds_per_unit;
+  return Duration(std::min(value, double(kMaxTimeout)));
 }
 
-void parse_quota(std::string_view text, double max_request_units, RequestArrived& out) {
-  out.gateway_set_size = 0;
+// One `name=value` of Quota-Info.
+void parse_quota_field(std::string_view field, double max_request_units, RequestArrived& arrived) {
+  const auto equals = field.find('=');
+  if (equals == std::string_view::npos) throw BadRequest("bad Quota-Info");
+  const std::string_view name = field.substr(0, equals);
+  const double value = std::min(parse_number(field.substr(equals + 1), "Quota-Info"), kMaxQuotaNumber);
+  if (name == "units") {
+    // An impossible cost would be added to the customer's total of all gateways, and would make the cost of
+    // every other request negligible.
+    if (value <= 0 || value > max_request_units) throw BadRequest("bad Quota-Info");
+    arrived.units = value;
+  }
+  if (name == "spread") arrived.gateway_set_size = int(value);
+  if (name == "first") arrived.first_gateway_index = int(value);
+}
+
+// The comma-separated fields of Quota-Info.
+void parse_quota_info(std::string_view text, double max_request_units, RequestArrived& arrived) {
+  arrived.gateway_set_size = 0;
   while (!text.empty()) {
     const auto comma = std::min(text.find(','), text.size());
-    std::string_view part = text.substr(0, comma);
+    std::string_view field = text.substr(0, comma);
     text.remove_prefix(std::min(comma + 1, text.size()));
-    part.remove_prefix(std::min(part.find_first_not_of(' '), part.size()));
-    const auto equals = part.find('=');
-    if (equals == std::string_view::npos) throw BadRequest("bad Quota-Info");
-    const auto name = part.substr(0, equals);
-    const double value = std::min(number(part.substr(equals + 1), "Quota-Info"), 1e6);
-    // Danger: units that no request can have would be added to its customer's total for all gateways, and
-    // make every other request look like no work at all.
-    if (name == "units" && (value <= 0 || value > max_request_units)) throw BadRequest("bad Quota-Info");
-    if (name == "units") out.units = value;
-    if (name == "spread") out.gateway_set_size = int(value);
-    if (name == "first") out.first_gateway_index = int(value);
+    field.remove_prefix(std::min(field.find_first_not_of(' '), field.size()));
+    parse_quota_field(field, max_request_units, arrived);
   }
 }
 
-bool is_customer(std::string_view text) {
-  return text.size() == 16 && text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
+bool is_customer_id(std::string_view text) {
+  return text.size() == kCustomerIdLength &&
+         text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
+}
+
+// The class is the first segment of the path and the customer the last one.
+void parse_path(std::string_view target, RequestArrived& arrived) {
+  const std::string_view path = target.substr(0, target.find('?'));
+  const auto last_slash = path.rfind('/');
+  if (path.empty() || path[0] != '/' || last_slash == 0) throw BadRequest("bad path");
+  arrived.request_class = std::string(path.substr(1, path.find('/', 1) - 1));
+  arrived.customer = std::string(path.substr(last_slash + 1));
+  if (!is_customer_id(arrived.customer)) throw BadRequest("no customer in the path");
+}
+
+const ClassSettings& find_class(const Settings& settings, const std::string& name) {
+  const auto found = std::find_if(settings.classes.begin(), settings.classes.end(),
+                                  [&](const ClassSettings& candidate) { return candidate.name == name; });
+  if (found == settings.classes.end()) throw BadRequest("no such class");
+  return *found;
 }
 
 }  // namespace
 
-ClientRequest parse_request(const RequestMessage& r, const Settings& settings) {
-  ClientRequest out;
-  RequestArrived& a = out.arrived;
-  const std::string_view target = view(r.target());
-  const std::string_view path = target.substr(0, target.find('?'));
-  const auto slash = path.rfind('/');
-  if (path.empty() || path[0] != '/' || slash == 0) throw BadRequest("bad path");
-  a.request_class = std::string(path.substr(1, path.find('/', 1) - 1));
-  a.customer = std::string(path.substr(slash + 1));
-  if (!is_customer(a.customer)) throw BadRequest("no customer in the path");
-  const auto cls = std::find_if(settings.classes.begin(), settings.classes.end(),
-                                [&](const ClassSettings& c) { return c.name == a.request_class; });
-  if (cls == settings.classes.end()) throw BadRequest("no such class");
-  const auto wanted = cls->idempotency == Idempotency::kIdempotent ? http::verb::get : http::verb::post;
-  if (r.method() != wanted) throw BadRequest("the method does not fit the class");
-  out.outgoing.trace_id = std::string(view(r["X-Trace-Id"]));
-  if (out.outgoing.trace_id.empty()) throw BadRequest("no X-Trace-Id");
-  out.outgoing.idempotency_key = std::string(view(r["Idempotency-Key"]));
-  if (cls->idempotency == Idempotency::kByKey && out.outgoing.idempotency_key.empty())
+ClientRequest parse_request(const RequestMessage& message, const Settings& settings) {
+  ClientRequest request;
+  RequestArrived& arrived = request.arrived;
+  OutgoingRequest& outgoing = request.outgoing;
+  const std::string_view target = to_view(message.target());
+  parse_path(target, arrived);
+
+  const ClassSettings& request_class = find_class(settings, arrived.request_class);
+  const bool is_read = request_class.idempotency == Idempotency::kIdempotent;
+  const http::verb expected_method = is_read ? http::verb::get : http::verb::post;
+  if (message.method() != expected_method) throw BadRequest("the method does not fit the class");
+
+  outgoing.trace_id = std::string(to_view(message["X-Trace-Id"]));
+  if (outgoing.trace_id.empty()) throw BadRequest("no X-Trace-Id");
+  outgoing.idempotency_key = std::string(to_view(message["Idempotency-Key"]));
+  if (request_class.idempotency == Idempotency::kByKey && outgoing.idempotency_key.empty())
     throw BadRequest("no Idempotency-Key");
-  const auto expires = view(r["X-Expires-In"]);
-  out.timeout = expires.empty() ? cls->client_timeout : parse_timeout(expires);
-  a.plan = std::string(view(r["Plan"]));
-  parse_quota(view(r["Quota-Info"]), settings.max_request_units, a);
-  a.client_retry = r["X-Second-Try"] == "1";
-  out.outgoing.method = std::string(view(r.method_string()));
-  out.outgoing.target = std::string(target);
-  out.outgoing.host = std::string(view(r[http::field::host]));
-  return out;
+
+  const std::string_view expires_in = to_view(message["X-Expires-In"]);
+  request.timeout = expires_in.empty() ? request_class.client_timeout : parse_timeout(expires_in);
+  arrived.plan = std::string(to_view(message["Plan"]));
+  parse_quota_info(to_view(message["Quota-Info"]), settings.max_request_units, arrived);
+  arrived.client_retry = message["X-Second-Try"] == "1";
+  outgoing.method = std::string(to_view(message.method_string()));
+  outgoing.target = std::string(target);
+  outgoing.host = std::string(to_view(message[http::field::host]));
+  return request;
 }
 
 }  // namespace quota_gateway::net
--- /dev/null
+++ b/src/client/client_session.cpp
@@ -0,0 +1,398 @@
+#include "client/client_session.hpp"
+
+#include <algorithm>
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/error.hpp>
+#include <string_view>
+#include <utility>
+
+#include "client/socket_state.hpp"
+#include "network/stream_io.hpp"
+
+namespace quota_gateway::net {
+namespace {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using boost::system::error_code;
+
+// Bytes discarded of a client that never sent a valid request; reading on would cost the other clients time.
+constexpr std::size_t kMaxDiscardedOfInvalidClient = 256 << 10;
+// Interval of the checks of a client whose upload is not read.
+constexpr Duration kSuspendedCheckInterval = 10'000;  // us
+
+}  // namespace
+
+ClientSession::ClientSession(ClientSessionContext& context, std::uint64_t client, tcp::socket socket)
+    : context_(context),
+      client_(client),
+      socket_(std::move(socket)),
+      buffer_share_(context.budget),
+      stall_detector_(context.clock.now()),
+      upload_(context.clock, context.budget, buffer_share_, stall_detector_),
+      writer_(socket_, context.clock, buffer_share_, *this) {
+  error_code ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+  socket_.non_blocking(true, ignored);
+}
+
+void ClientSession::read() {
+  if (state_ == State::kAwaitingResponse && upload_.is_full()) return schedule_suspended_check();
+  if (is_read_pending_ || !wants_data()) return;
+  is_read_pending_ = true;
+  socket_.async_wait(tcp::socket::wait_read,
+                     [this, self = shared_from_this()](error_code ec) { on_readable(ec); });
+}
+
+void ClientSession::on_readable(error_code ec) {
+  is_read_pending_ = false;
+  last_byte_.on_readable(now());
+  // While a request is pending, reading continues until the kernel has no more: the end of the connection may
+  // stand right behind the request, and is to be seen before the request is forwarded.
+  do {
+    if (state_ == State::kClosed) return;
+    std::size_t size = 0;
+    if (!ec) size = read_available(socket_, asio::buffer(context_.read_buffer), ec);
+    if (ec == asio::error::would_block) {
+      last_byte_.on_all_read(now());
+      break;
+    }
+    if (ec) return close();
+    on_data(size);
+  } while (state_ == State::kAwaitingResponse && !is_discarding_ && wants_data());
+  read();
+}
+
+void ClientSession::on_data(std::size_t size) {
+  const TimePoint read_at = now();
+  stall_detector_.on_read(read_at);
+  buffer_data(size, data_received_at(read_at));
+  process_input();
+  if (last_byte_.is_read_suspended() && upload_.is_active()) update_last_byte_estimate();
+}
+
+// The first data may have waited in the backlog.
+TimePoint ClientSession::data_received_at(TimePoint read_at) {
+  if (has_read_) return read_at;
+  has_read_ = true;
+  return read_at - time_since_last_data(socket_);
+}
+
+void ClientSession::buffer_data(std::size_t size, TimePoint received_at) {
+  if (is_discarding_ || state_ == State::kClosing) {
+    discarded_bytes_ += size;
+    return;
+  }
+  reader_.append(std::string_view(context_.read_buffer.data(), size), received_at);
+  // Unread data would hide that the client closes the connection. So a client that sends too much ahead gets
+  // the response to the pending request and no other.
+  if (state_ == State::kAwaitingResponse && !upload_.is_active() && reader_.input_size() > kMaxReadAhead) {
+    is_discarding_ = true;
+    reader_.clear_input();
+  }
+}
+
+bool ClientSession::wants_data() const {
+  if (state_ == State::kClosed || upload_.is_full()) return false;
+  if (state_ != State::kAwaitingResponse && reader_.input_size() > kMaxReadAhead) return false;
+  return !is_discarding_ || has_sent_request_ || discarded_bytes_ <= kMaxDiscardedOfInvalidClient;
+}
+
+// While the upload is full its socket is not read. The last byte, from which the client's timeout counts, or
+// the end of the connection may wait there, so the kernel is asked for them.
+void ClientSession::schedule_suspended_check() {
+  last_byte_.on_read_suspended();
+  if (is_suspended_check_scheduled_) return;
+  is_suspended_check_scheduled_ = true;
+  context_.timers.schedule_after(kSuspendedCheckInterval,
+                                 [this, self = shared_from_this()] { check_suspended_client(); });
+}
+
+void ClientSession::check_suspended_client() {
+  is_suspended_check_scheduled_ = false;
+  if (state_ != State::kAwaitingResponse || !upload_.is_full()) return read();
+  if (is_closed_by_peer(socket_)) return close();
+  update_last_byte_estimate();
+  context_.callbacks.on_body_lagging(request_id_, last_byte_.last_byte_pending_since());
+  read();
+}
+
+void ClientSession::update_last_byte_estimate() {
+  error_code ignored;
+  last_byte_.update({.remaining_bytes = reader_.remaining_content_length(),
+                     .unread_bytes = socket_.available(ignored),
+                     .last_read_at = stall_detector_.last_read_at(),
+                     .now = now()});
+}
+
+void ClientSession::process_input() {
+  while (reader_.has_input() && accepts_request_data()) {
+    if (!reader_.is_in_request()) begin_request();
+    const RequestReader::Progress progress = reader_.parse_some();
+    stall_detector_.on_body_data(progress.body_bytes);
+    if (progress.error) return reject(*progress.error);
+    if (progress.is_head_new && !on_head_complete()) return;
+    if (reader_.is_head_complete()) on_body_data();
+    if (reader_.is_request_complete()) {
+      on_request_complete();
+    } else if (progress.needs_more_input) {
+      if (reader_.is_input_oversized()) reject({413, "header too large"});
+      return;
+    }
+  }
+}
+
+void ClientSession::begin_request() {
+  reader_.begin_request();
+  stall_detector_.on_request_started(now());
+  enter(State::kReadingRequest);
+}
+
+bool ClientSession::accepts_request_data() const {
+  return state_ == State::kIdle || state_ == State::kReadingRequest ||
+         (state_ == State::kAwaitingResponse && upload_.is_active());
+}
+
+// Returns false if the request was rejected.
+bool ClientSession::on_head_complete() {
+  head_ = reader_.head();
+  if (head_.is_health_check) return true;
+  try {
+    request_ = reader_.parse_request(context_.settings);
+  } catch (const BadRequest& error) {
+    reject({400, error.what()});
+    return false;
+  }
+  if (reader_.content_length().value_or(0) <= kMaxBodySize) return true;
+  reject({413, "body too large"});
+  return false;
+}
+
+// A small body is buffered; a larger one is streamed to the endpoint as it arrives.
+void ClientSession::on_body_data() {
+  if (upload_.is_active()) {
+    upload_.append(reader_.take_body());
+    return;
+  }
+  if (head_.is_health_check) {
+    reader_.clear_body();
+    return;
+  }
+  const bool is_complete = reader_.is_request_complete();
+  const std::uint64_t known_size =
+      std::max<std::uint64_t>(reader_.content_length().value_or(0), reader_.body().size());
+  if (!is_complete && known_size > context_.budget.buffered_body_limit()) return start_upload();
+  buffer_share_.set(reader_.body().size());
+  if (!is_complete) send_continue_if_expected();
+}
+
+void ClientSession::on_request_complete() {
+  reader_.end_request();
+  has_sent_request_ = has_sent_request_ || !head_.is_health_check;
+  if (upload_.is_active()) {
+    upload_.finish();
+    return context_.callbacks.on_body_complete(request_id_, last_byte_.last_byte_pending_since());
+  }
+  if (head_.is_health_check) return respond_to_health_check();
+  request_->outgoing.body = reader_.take_body();
+  request_->received_at = reader_.last_byte_received_at();
+  report_request();
+}
+
+void ClientSession::report_request() {
+  enter(State::kAwaitingResponse);
+  request_id_ = context_.callbacks.on_request(client_, std::move(*request_));
+  request_.reset();
+}
+
+// During a hot restart the successor keeps serving the address, so the address stays healthy.
+void ClientSession::respond_to_health_check() {
+  const bool is_ending = context_.is_draining && !context_.is_listener_inherited;
+  Response response;
+  response.status = is_ending ? 503 : 200;
+  response.body = is_ending ? "draining\n" : "ok\n";
+  write_response(response, is_last_response());
+}
+
+void ClientSession::reject(const RequestError& error) {
+  // An endpoint has already received the head of this request, so a response would be the second one.
+  if (state_ == State::kAwaitingResponse) return close();
+  Response response;
+  response.status = error.status;
+  response.body = error.reason + "\n";
+  is_discarding_ = true;
+  write_response(response, true);
+}
+
+void ClientSession::send_continue_if_expected() {
+  if (!head_.expects_continue) return;
+  head_.expects_continue = false;
+  writer_.send_continue();
+}
+
+void ClientSession::start_upload() {
+  UploadProducer::Callbacks callbacks;
+  callbacks.on_consumer_ready = [weak = weak_from_this()] {
+    if (const auto self = weak.lock()) self->send_continue_if_expected();
+  };
+  callbacks.on_drained = [weak = weak_from_this()] {
+    const auto self = weak.lock();
+    if (!self || !self->upload_.is_active()) return;
+    self->upload_.on_drained();
+    self->read();
+  };
+  request_->outgoing.upload =
+      upload_.start(reader_.content_length(), reader_.take_body(), std::move(callbacks));
+  report_request();
+  upload_.await_drained();
+}
+
+// The response comes before the end of the body. The client may write the body to its end before it reads the
+// response, so the rest is read and discarded.
+void ClientSession::abandon_upload() {
+  if (!upload_.is_active()) return;
+  has_sent_request_ = true;
+  upload_.abandon();
+  reader_.end_request();
+  reader_.clear_input();
+  is_discarding_ = true;
+}
+
+void ClientSession::respond(const Response& response) {
+  if (state_ != State::kAwaitingResponse) return;
+  request_id_ = 0;
+  write_response(response, is_last_response());
+}
+
+void ClientSession::write_response(const Response& response, bool close_after) {
+  close_after_response_ = close_after;
+  abandon_upload();
+  reader_.clear_body();
+  enter(State::kWritingResponse);
+  writer_.write_response(response, close_after);
+}
+
+void ClientSession::start_response(std::optional<std::uint64_t> length) {
+  if (state_ != State::kAwaitingResponse) return;
+  const ResponseFraming framing = select_framing(length, head_.http_version);
+  const bool ends_with_close = framing == ResponseFraming::kUntilClose;
+  close_after_response_ = is_last_response() || ends_with_close;
+  // If the response is cut short, even by the end of this process, only a reset tells the client so.
+  if (ends_with_close) set_reset_on_close(socket_, true);
+  abandon_upload();
+  enter(State::kWritingResponse);
+  writer_.start_stream(framing, length, close_after_response_);
+}
+
+void ClientSession::finish_response() {
+  if (!writer_.is_streaming()) return;
+  request_id_ = 0;
+  writer_.finish_stream();
+}
+
+void ClientSession::abort_response() {
+  set_reset_on_close(socket_, true);
+  close();
+}
+
+void ClientSession::on_chunks_written() { context_.callbacks.on_writable(request_id_); }
+
+void ClientSession::on_response_written() {
+  stall_detector_.on_response_written(now());
+  if (close_after_response_) {
+    set_reset_on_close(socket_, false);
+    begin_close();
+  } else {
+    enter(State::kIdle);
+    process_input();
+    if (context_.is_draining) close_if_idle();
+  }
+  read();
+}
+
+bool ClientSession::is_last_response() const {
+  return context_.is_draining || !head_.keep_alive || upload_.is_active() || is_discarding_;
+}
+
+void ClientSession::enter(State state) {
+  state_ = state;
+  stall_detector_.on_state_entered(now());
+}
+
+void ClientSession::begin_close() {
+  error_code ignored;
+  socket_.shutdown(tcp::socket::shutdown_send, ignored);
+  reader_.clear_input();
+  enter(State::kClosing);
+}
+
+void ClientSession::close_if_idle() {
+  if (!has_sent_request_ || state_ != State::kIdle) return;
+  if (!has_unread_data(socket_)) begin_close();
+}
+
+void ClientSession::close_if_stalled(TimePoint now) {
+  if (state_ == State::kWritingResponse && writer_.is_stalled(now)) return abort_response();
+  if (is_close_due(now)) return close();
+  // After a pause of the gateway itself, data that arrived in time may be unread; it is read first.
+  if (!is_client_stalled(now) || has_unread_data(socket_)) return;
+  if (has_sent_request_ && state_ == State::kReadingRequest) {
+    begin_close();
+  } else {
+    close();
+  }
+}
+
+bool ClientSession::is_close_due(TimePoint now) {
+  if (state_ != State::kClosing || !stall_detector_.is_linger_expired(now)) return false;
+  const bool is_overdue = stall_detector_.is_close_overdue(now);
+  // A client may send the rest of a large body before it reads its response.
+  const bool is_sending_body = is_discarding_ && has_sent_request_ && stall_detector_.has_read_recently(now);
+  if (is_sending_body && !is_overdue) return false;
+  return is_overdue || !has_unacknowledged_data(socket_);
+}
+
+bool ClientSession::is_client_stalled(TimePoint now) const {
+  const bool is_reading_upload =
+      state_ == State::kAwaitingResponse && upload_.is_active() && !upload_.is_full();
+  const bool is_mid_request = state_ == State::kReadingRequest || is_reading_upload;
+  const bool awaits_first_request = state_ == State::kIdle && !has_sent_request_;
+  if (!is_mid_request && !awaits_first_request) return false;
+  if (is_mid_request && stall_detector_.is_silent(now)) return true;
+  return stall_detector_.is_request_overdue(now, has_sent_request_);
+}
+
+void ClientSession::close() {
+  if (state_ == State::kClosed) return;
+  const bool is_response_owed = state_ == State::kAwaitingResponse || writer_.is_streaming();
+  state_ = State::kClosed;
+  writer_.cancel();
+  error_code ignored;
+  socket_.close(ignored);
+  abandon_upload();
+  if (is_response_owed) context_.callbacks.on_client_disconnected(request_id_);
+  context_.on_session_closed(client_);
+}
+
+bool ClientSession::is_settled() {
+  return state_ == State::kIdle && has_sent_request_ && !has_data_in_flight();
+}
+
+bool ClientSession::is_evictable() const {
+  if (state_ == State::kIdle || state_ == State::kReadingRequest) return true;
+  // A client that still sends a large body has yet to read its response.
+  const bool is_sending_body = is_discarding_ && has_sent_request_;
+  return state_ == State::kClosing && !is_sending_body;
+}
+
+EvictionPriority ClientSession::eviction_priority() const {
+  const bool is_known_client =
+      state_ == State::kReadingRequest || (has_sent_request_ && state_ != State::kClosing);
+  return {is_known_client, stall_detector_.last_read_at()};
+}
+
+bool ClientSession::has_data_in_flight() {
+  return has_unacknowledged_data(socket_) || (state_ != State::kClosing && has_unread_data(socket_));
+}
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/client/client_session.hpp
@@ -0,0 +1,164 @@
+// One client connection: reads requests, reports them and writes the responses.
+#pragma once
+
+#include <boost/asio/ip/tcp.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <tuple>
+#include <vector>
+
+#include "client/client_callbacks.hpp"
+#include "client/client_request.hpp"
+#include "client/client_response.hpp"
+#include "client/last_byte_estimator.hpp"
+#include "client/request_reader.hpp"
+#include "client/response_writer.hpp"
+#include "client/stall_detector.hpp"
+#include "client/upload_producer.hpp"
+#include "network/body_transfer.hpp"
+#include "quota_gateway/decision_engine.hpp"
+#include "runtime/timers.hpp"
+
+namespace quota_gateway::net {
+
+// What all sessions of a listener share. It outlives their connections.
+struct ClientSessionContext {
+  Timers& timers;
+  const Clock& clock;
+  const Settings& settings;
+  BodyBudget& budget;
+  const ClientCallbacks callbacks;
+  // Removes a closed session from the listener.
+  const std::function<void(std::uint64_t client)> on_session_closed;
+  std::vector<char> read_buffer;       // holds the data of one read, of any session
+  bool is_draining = false;            // connections end with their present response
+  bool is_listener_inherited = false;  // a successor can serve the same address
+};
+
+// When the listener needs room for a new connection, the session with the lowest priority is closed first:
+// clients that never sent a request, then those whose last data is oldest.
+struct EvictionPriority {
+  bool is_known_client = false;
+  TimePoint last_read_at = 0;
+  bool operator<(const EvictionPriority& other) const {
+    return std::tie(is_known_client, last_read_at) < std::tie(other.is_known_client, other.last_read_at);
+  }
+};
+
+// The session goes on reading while its request is processed, because only a read shows that the client has
+// closed the connection.
+class ClientSession : public std::enable_shared_from_this<ClientSession>, private ResponseWriterOwner {
+ public:
+  ClientSession(ClientSessionContext& context, std::uint64_t client, boost::asio::ip::tcp::socket socket);
+
+  // Waits for data, if any more is wanted at present. The read buffer is used only when data is there, so an
+  // idle connection costs little memory.
+  void read();
+
+  // The response to the pending request; ignored if none is pending.
+  void respond(const Response& response);
+  // Begins a streamed response to the pending request, then adds chunks and ends it.
+  void start_response(std::optional<std::uint64_t> length);
+  void write_chunk(const std::string& bytes) { writer_.write_chunk(bytes); }
+  void finish_response();
+  // Closes the connection with a reset, which no client takes for the end of a response.
+  void abort_response();
+
+  // Closes the connection of a client that has sent a request and is idle now.
+  void close_if_idle();
+  // Closes the connection if its client stalls.
+  void close_if_stalled(TimePoint now);
+  void close();
+
+  // Whether the session is idle after a request, and nothing is under way in either direction.
+  bool is_settled();
+  // Whether the session may be closed in favour of a new connection, as it has no request in progress.
+  [[nodiscard]] bool is_evictable() const;
+  [[nodiscard]] EvictionPriority eviction_priority() const;
+  // Whether data is under way. A close over unread data is a reset, and takes along what the client's kernel
+  // has not received of a response.
+  bool has_data_in_flight();
+
+ private:
+  enum class State {
+    kIdle,              // between two requests, or before the first one
+    kReadingRequest,    // a request has begun and was not reported
+    kAwaitingResponse,  // the request was reported; its streamed body may still be read
+    kWritingResponse,
+    kClosing,  // nothing more is written; data is discarded until the client closes its side
+    kClosed,
+  };
+
+  // Reading.
+  void on_readable(boost::system::error_code ec);
+  void on_data(std::size_t size);
+  void buffer_data(std::size_t size, TimePoint received_at);
+  [[nodiscard]] TimePoint data_received_at(TimePoint read_at);
+  [[nodiscard]] bool wants_data() const;
+  void schedule_suspended_check();
+  void check_suspended_client();
+  void update_last_byte_estimate();
+
+  // Requests.
+  void process_input();
+  void begin_request();
+  [[nodiscard]] bool accepts_request_data() const;
+  bool on_head_complete();
+  void on_body_data();
+  void on_request_complete();
+  void report_request();
+  void respond_to_health_check();
+  void reject(const RequestError& error);
+  void send_continue_if_expected();
+
+  // Streamed request bodies.
+  void start_upload();
+  void abandon_upload();
+
+  // Responses.
+  std::shared_ptr<void> retain() override { return shared_from_this(); }
+  void on_chunks_written() override;
+  void on_response_written() override;
+  void on_write_failed() override { close(); }
+  void write_response(const Response& response, bool close_after);
+  [[nodiscard]] bool is_last_response() const;
+
+  void enter(State state);
+  void begin_close();
+  [[nodiscard]] TimePoint now() const { return context_.clock.now(); }
+  [[nodiscard]] bool is_client_stalled(TimePoint now) const;
+  [[nodiscard]] bool is_close_due(TimePoint now);
+
+  ClientSessionContext& context_;
+  const std::uint64_t client_;
+  boost::asio::ip::tcp::socket socket_;
+  State state_ = State::kIdle;
+  bool has_sent_request_ = false;  // other than a health check
+  std::uint64_t request_id_ = 0;   // 0: none is pending
+
+  // Input.
+  RequestReader reader_;
+  RequestHead head_;
+  std::optional<ClientRequest> request_;  // until it is reported
+  bool has_read_ = false;
+  bool is_read_pending_ = false;
+  bool is_suspended_check_scheduled_ = false;
+  bool is_discarding_ = false;       // all further data is ignored and the next response is the last one
+  std::size_t discarded_bytes_ = 0;  // since then, or since the session is closing
+
+  // Request body.
+  BodyBudget::Share buffer_share_;  // bytes buffered of the request body or the response
+  LastByteEstimator last_byte_;
+  StallDetector stall_detector_;
+  UploadProducer upload_;
+
+  // Output.
+  ResponseWriter writer_;
+  bool close_after_response_ = false;
+};
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/client/request_reader.cpp
@@ -0,0 +1,92 @@
+#include "client/request_reader.hpp"
+
+#include <boost/beast/core/string.hpp>
+#include <boost/beast/http/error.hpp>
+#include <utility>
+
+#include "network/body_transfer.hpp"
+
+namespace quota_gateway::net {
+namespace {
+
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+constexpr std::uint32_t kMaxHeaderSize = 8 << 10;  // bytes
+
+RequestError to_request_error(error_code ec) {
+  const bool is_too_large = ec == http::error::body_limit || ec == http::error::header_limit;
+  return {is_too_large ? 413 : 400, ec.message()};
+}
+
+}  // namespace
+
+void RequestReader::append(std::string_view bytes, TimePoint received_at) {
+  input_.append(bytes);
+  bytes_received_ += bytes.size();
+  arrivals_.push_back({bytes_received_, received_at});
+}
+
+bool RequestReader::is_input_oversized() const { return input_.size() > kMaxHeaderSize; }
+
+void RequestReader::begin_request() {
+  parser_.emplace();
+  parser_->eager(true);
+  parser_->header_limit(kMaxHeaderSize);
+  parser_->body_limit(kMaxBodySize);
+  is_head_complete_ = false;
+}
+
+RequestReader::Progress RequestReader::parse_some() {
+  Progress progress;
+  error_code ec;
+  const std::size_t body_size_before = body_.size();
+  const std::size_t consumed = put(*parser_, input_, body_, ec);
+  progress.body_bytes = body_.size() - body_size_before;
+  consume(consumed);
+  if (ec && ec != http::error::need_more) {
+    progress.error = to_request_error(ec);
+    return progress;
+  }
+  progress.is_head_new = parser_->is_header_done() && !is_head_complete_;
+  is_head_complete_ = parser_->is_header_done();
+  progress.needs_more_input = ec == http::error::need_more || consumed == 0;
+  return progress;
+}
+
+void RequestReader::consume(std::size_t size) {
+  input_.erase(0, size);
+  bytes_parsed_ += size;
+  while (arrivals_.size() > 1 && arrivals_.front().stream_end < bytes_parsed_)
+    arrivals_.erase(arrivals_.begin());
+}
+
+RequestHead RequestReader::head() const {
+  const RequestMessage& message = parser_->get();
+  RequestHead head;
+  head.keep_alive = message.keep_alive();
+  head.http_version = message.version();
+  head.expects_continue = boost::beast::iequals(message[http::field::expect], "100-continue");
+  head.is_health_check = message.method() == http::verb::get && message.target() == "/_health";
+  return head;
+}
+
+ClientRequest RequestReader::parse_request(const Settings& settings) const {
+  return net::parse_request(parser_->get(), settings);
+}
+
+std::optional<std::uint64_t> RequestReader::content_length() const {
+  const auto length = parser_->content_length();
+  if (!length) return std::nullopt;
+  return *length;
+}
+
+std::optional<std::uint64_t> RequestReader::remaining_content_length() const {
+  const auto remaining = parser_->content_length_remaining();
+  if (!remaining) return std::nullopt;
+  return *remaining;
+}
+
+std::string RequestReader::take_body() { return std::exchange(body_, {}); }
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/network/body_parsing.hpp
@@ -0,0 +1,31 @@
+// Feeds received bytes to an HTTP parser that leaves the body to its caller.
+#pragma once
+
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/http/buffer_body.hpp>
+#include <boost/beast/http/error.hpp>
+#include <boost/system/error_code.hpp>
+#include <cstddef>
+#include <string>
+#include <vector>
+
+namespace quota_gateway::net {
+
+// Size of one read. The buffer for it is shared by all connections of a module.
+constexpr std::size_t kReadSize = 32 << 10;  // bytes
+
+// Gives `bytes` to the parser of a message with a buffer_body, appends the decoded part of the body to `body`
+// and returns how many bytes the parser consumed.
+template <typename Parser>
+std::size_t put(Parser& parser, const std::string& bytes, std::string& body, boost::system::error_code& ec) {
+  static thread_local std::vector<char> scratch(kReadSize);
+  auto& destination = parser.get().body();
+  destination.data = scratch.data();
+  destination.size = scratch.size();
+  const std::size_t consumed = parser.put(boost::asio::buffer(bytes), ec);
+  body.append(scratch.data(), scratch.size() - destination.size);
+  if (ec == boost::beast::http::error::need_buffer) ec = {};
+  return consumed;
+}
+
+}  // namespace quota_gateway::net
