--- a/tests/client/body_transfer_test.cpp
+++ b/tests/client/body_transfer_test.cpp
@@ -1,5 +1,5 @@
-// Bodies too large to hold, both ways, through a whole gateway; and crowds of connections that ask for
-// nothing.
+// Tests of streamed request and response bodies through a complete gateway, and of many connections without
+// requests.
 #include <gtest/gtest.h>
 
 #include "support/loopback.hpp"
@@ -11,7 +11,7 @@
  protected:
   BodyTest() {
     rig.know(member("s1", s1));
-    // Here servers answer within a millisecond; one that then takes ten would be left as stalled.
+    // The endpoints here answer within a millisecond, so a slow attempt would be cancelled after ten.
     rig.config.settings.allow_cancel = false;
   }
   static std::string text(std::size_t size) {
@@ -25,25 +25,25 @@
            "Quota-Info: units=1,spread=3,first=0\r\n\r\n";
   }
   static std::string length(std::size_t size) { return "Content-Length: " + std::to_string(size) + "\r\n"; }
-  int status(Client& c) {
-    const auto answer = c.receive();
-    return answer ? int(answer->result_int()) : 0;
+  int status(Client& client) {
+    const auto response = client.receive();
+    return response ? int(response->result_int()) : 0;
   }
-  // Both ends are in this loop, so that neither may block on the other.
-  void send_all(Client& c, const std::string& bytes) {
-    auto held = std::make_shared<std::string>(bytes);
-    asio::async_write(c.socket, asio::buffer(*held), [held](error_code, std::size_t) {});
+  // Both ends run in this event loop, so neither may block on the other.
+  void send_all(Client& client, const std::string& bytes) {
+    auto buffer = std::make_shared<std::string>(bytes);
+    asio::async_write(client.socket, asio::buffer(*buffer), [buffer](error_code, std::size_t) {});
   }
   static void write_all(Peer& p, const std::string& bytes) {
-    auto held = std::make_shared<std::string>(bytes);
-    asio::async_write(p.socket, asio::buffer(*held),
-                      [held, self = p.shared_from_this()](error_code, std::size_t) {});
+    auto buffer = std::make_shared<std::string>(bytes);
+    asio::async_write(p.socket, asio::buffer(*buffer),
+                      [buffer, self = p.shared_from_this()](error_code, std::size_t) {});
   }
   Rig rig;
   FakeServer s1{rig.io};
 };
 
-TEST_F(BodyTest, ALargeAnswerPassesUnchangedWithItsLengthAndInChunks) {
+TEST_F(BodyTest, LargeResponseIsForwardedUnchangedWithLengthAndInChunks) {
   const std::string body = text(900'000);
   s1.on_request = [&](Peer& p, const Request_& r) {
     if (r["X-Trace-Id"] == "chunked")
@@ -54,21 +54,21 @@
       write_all(p, reply("200 OK", "", body));
   };
   rig.start();
-  Client c = rig.client();
+  Client client = rig.client();
   for (const std::string id : {"sized", "chunked", "again"}) {
-    c.send(get(id));
-    const auto answer = c.receive();
-    ASSERT_TRUE(answer) << id;
-    EXPECT_EQ(answer->result_int(), 200u);
-    EXPECT_TRUE(answer->body() == body) << id;
-    EXPECT_EQ(answer->chunked(), id == "chunked");
-    wait(rig.io, 25);  // a server's connection is used again only once no second answer is due
+    client.send(get(id));
+    const auto response = client.receive();
+    ASSERT_TRUE(response) << id;
+    EXPECT_EQ(response->result_int(), 200u);
+    EXPECT_TRUE(response->body() == body) << id;
+    EXPECT_EQ(response->chunked(), id == "chunked");
+    wait(rig.io, 25);  // a connection is reused only once no second response can follow
   }
   EXPECT_EQ(s1.requests.size(), 3u);
   EXPECT_EQ(s1.peers.size(), 1u);
 }
 
-TEST_F(BodyTest, ALargeAnswerThatBreaksIsCutAndNotTriedAgain) {
+TEST_F(BodyTest, TruncatedLargeResponseIsAbortedAndNotRetried) {
   FakeServer s2(rig.io);
   s1.on_request = s2.on_request = [&](Peer& p, const Request_&) {
     p.write("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + text(100'000));
@@ -76,14 +76,15 @@
   };
   rig.know(member("s2", s2));
   rig.start();
-  Client c = rig.client();
-  c.send(get("a"));
-  EXPECT_FALSE(c.receive());
+  Client client = rig.client();
+  client.send(get("a"));
+  EXPECT_FALSE(client.receive());
   EXPECT_EQ(s1.requests.size() + s2.requests.size(), 1u);
 }
 
-TEST_F(BodyTest, AnAnswerWithoutALengthEndsForTheClientAsItsServerEndedIt) {
-  // A client of HTTP/1.0 knows such an answer's end by the close alone, so one that is cut must be reset.
+TEST_F(BodyTest, ResponseWithoutLengthEndsForTheClientAsTheEndpointEndedIt) {
+  // An HTTP/1.0 client takes an orderly close for the end of such a response, so a truncated one must be
+  // reset.
   const std::string body = text(100'000);
   std::shared_ptr<Peer> peer;
   s1.on_request = [&](Peer& p, const Request_&) {
@@ -94,24 +95,24 @@
   for (const std::string version : {"1.1", "1.0"})
     for (const bool orderly : {true, false}) {
       SCOPED_TRACE(version + (orderly ? " closed" : " reset"));
-      Client c = rig.client();
+      Client client = rig.client();
       std::string request = get("a");
       request.replace(request.find("HTTP/1.1") + 5, 3, version);
-      c.send(request);
-      ASSERT_TRUE(rig.until([&] { return c.socket.available() > body.size(); }));
+      client.send(request);
+      ASSERT_TRUE(rig.until([&] { return client.socket.available() > body.size(); }));
       orderly ? peer->close() : peer->reset();
-      const auto answer = c.receive();
-      ASSERT_EQ(answer.has_value(), orderly);
-      if (orderly) EXPECT_TRUE(answer->body() == body);
+      const auto response = client.receive();
+      ASSERT_EQ(response.has_value(), orderly);
+      if (orderly) EXPECT_TRUE(response->body() == body);
     }
 }
 
-// The client's version, and what the answer says of its length.
-class SilentAnswerTest : public BodyTest,
-                         public ::testing::WithParamInterface<std::tuple<const char*, const char*>> {};
+// Parameters: the client's HTTP version and the header with the length of the response.
+class SilentResponseTest : public BodyTest,
+                           public ::testing::WithParamInterface<std::tuple<const char*, const char*>> {};
 
-TEST_P(SilentAnswerTest, IsCutWithinHalfASecondOfItsTime) {
-  // Guards against a client that waits ten seconds past its time, whatever tells it the end of the answer.
+TEST_P(SilentResponseTest, IsAbortedWithinHalfASecondOfTheClientTimeout) {
+  // Guards against a client that waits ten seconds past its timeout, however the response is framed.
   const auto [version, length] = GetParam();
   const std::string body = text(100'000);
   std::shared_ptr<Peer> peer;
@@ -121,24 +122,24 @@
   };
   rig.start();
   rig.clock.stop();
-  Client c = rig.client();
-  std::string request = get("a");  // the client waits for 4 s
+  Client client = rig.client();
+  std::string request = get("a");  // with a timeout of 4 s
   request.replace(request.find("HTTP/1.1") + 5, 3, version);
-  c.send(request);
-  ASSERT_TRUE(rig.until([&] { return c.socket.available() > body.size(); }));
+  client.send(request);
+  ASSERT_TRUE(rig.until([&] { return client.socket.available() > body.size(); }));
   wait(rig.io, 1);
   rig.clock.move(3'900'000);
-  wait(rig.io, 250);  // timers have had their turn
+  wait(rig.io, 250);  // lets the timers run
   EXPECT_FALSE(peer->over);
   rig.clock.move(590'000);
-  EXPECT_FALSE(c.receive());
+  EXPECT_FALSE(client.receive());
   EXPECT_TRUE(rig.until([&] { return peer->over; }));
 }
-INSTANTIATE_TEST_SUITE_P(Answers, SilentAnswerTest,
+INSTANTIATE_TEST_SUITE_P(Answers, SilentResponseTest,
                          ::testing::Combine(::testing::Values("1.1", "1.0"),
                                             ::testing::Values("Content-Length: 900000\r\n", "")));
 
-TEST_F(BodyTest, AnAnswerThatIsStillGivenIsNotCutPastItsTime) {
+TEST_F(BodyTest, ResponseInProgressIsNotAbortedAfterTheClientTimeout) {
   const std::string body = text(100'000);
   std::shared_ptr<Peer> peer;
   s1.on_request = [&](Peer& p, const Request_&) {
@@ -147,48 +148,48 @@
   };
   rig.start();
   rig.clock.stop();
-  Client c = rig.client();
-  c.send(get("a"));
-  ASSERT_TRUE(rig.until([&] { return c.socket.available() > body.size(); }));
+  Client client = rig.client();
+  client.send(get("a"));
+  ASSERT_TRUE(rig.until([&] { return client.socket.available() > body.size(); }));
   for (int i = 0; i < 30; ++i) {
-    rig.clock.move(300'000);  // 9 s in all, of the 4 s that the client waits
-    const auto had = c.socket.available();
+    rig.clock.move(300'000);  // 9 s in all; the client timeout is 4 s
+    const auto had = client.socket.available();
     peer->write("x");
-    ASSERT_TRUE(rig.until([&] { return c.socket.available() > had || peer->over; }));
+    ASSERT_TRUE(rig.until([&] { return client.socket.available() > had || peer->over; }));
     ASSERT_FALSE(peer->over) << i;
   }
-  const auto answer = c.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_TRUE(answer->body() == body + std::string(30, 'x'));
+  const auto response = client.receive();
+  ASSERT_TRUE(response);
+  EXPECT_TRUE(response->body() == body + std::string(30, 'x'));
 }
 
-TEST_F(BodyTest, AClientThatLeavesAnAnswerEndsItsAttempt) {
+TEST_F(BodyTest, ClientThatDisconnectsDuringAResponseEndsItsAttempt) {
   s1.on_request = [&](Peer& p, const Request_&) {
     p.write("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + text(100'000));
   };
   rig.start();
   {
-    Client c = rig.client();
-    c.send(get("a"));
+    Client client = rig.client();
+    client.send(get("a"));
     std::array<char, 1000> some;
     bool got = false;
-    c.socket.async_read_some(asio::buffer(some), [&](error_code ec, std::size_t) { got = !ec; });
+    client.socket.async_read_some(asio::buffer(some), [&](error_code ec, std::size_t) { got = !ec; });
     ASSERT_TRUE(rig.until([&] { return got; }));
   }
   EXPECT_TRUE(rig.until([&] { return s1.peers.at(0)->over; }));
 }
 
-TEST_F(BodyTest, ALargeRequestPassesUnchangedWithItsLengthAndInChunksWithTrailers) {
+TEST_F(BodyTest, LargeRequestIsForwardedUnchangedWithLengthAndInChunksWithTrailers) {
   const std::string body = text(900'000);
   rig.start();
-  Client c = rig.client();
-  send_all(c, upload("sized", length(body.size())) + body);
-  EXPECT_EQ(status(c), 200);
-  send_all(c, upload("chunked", "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n") +
-                  FakeDiscovery::chunk(body.substr(0, 700'000)) + FakeDiscovery::chunk(body.substr(700'000)) +
-                  "0\r\nX-T: t\r\n\r\n" + get("behind"));
-  EXPECT_EQ(status(c), 200);
-  EXPECT_EQ(status(c), 200);
+  Client client = rig.client();
+  send_all(client, upload("sized", length(body.size())) + body);
+  EXPECT_EQ(status(client), 200);
+  send_all(client, upload("chunked", "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n") +
+                       FakeDiscovery::chunk(body.substr(0, 700'000)) +
+                       FakeDiscovery::chunk(body.substr(700'000)) + "0\r\nX-T: t\r\n\r\n" + get("behind"));
+  EXPECT_EQ(status(client), 200);
+  EXPECT_EQ(status(client), 200);
   ASSERT_EQ(s1.requests.size(), 3u);
   EXPECT_TRUE(s1.requests[0].body() == body);
   EXPECT_TRUE(s1.requests[1].body() == body);
@@ -196,121 +197,121 @@
   EXPECT_EQ(s1.requests[2]["X-Trace-Id"], "behind");
 }
 
-TEST_F(BodyTest, ASmallRequestInChunksIsHeldAndSentWithItsLength) {
+TEST_F(BodyTest, SmallChunkedRequestIsBufferedAndForwardedWithLength) {
   rig.start();
-  Client c = rig.client();
-  c.send(upload("a", "Transfer-Encoding: chunked\r\n") + FakeDiscovery::chunk("hello") + "0\r\n\r\n");
-  EXPECT_EQ(status(c), 200);
+  Client client = rig.client();
+  client.send(upload("a", "Transfer-Encoding: chunked\r\n") + FakeDiscovery::chunk("hello") + "0\r\n\r\n");
+  EXPECT_EQ(status(client), 200);
   EXPECT_EQ(s1.requests[0].body(), "hello");
   EXPECT_FALSE(s1.requests[0].chunked());
 }
 
-TEST_F(BodyTest, AClientThatAsksFirstIsToldToGoOn) {
+TEST_F(BodyTest, ClientThatExpectsContinueReceivesIt) {
   rig.start();
   for (const std::size_t size : {std::size_t(5), std::size_t(200'000)}) {
-    Client c = rig.client();
-    c.send(upload("a" + std::to_string(size), "Expect: 100-continue\r\n" + length(size)));
-    EXPECT_EQ(status(c), 100) << size;
-    send_all(c, text(size));
-    EXPECT_EQ(status(c), 200) << size;
+    Client client = rig.client();
+    client.send(upload("a" + std::to_string(size), "Expect: 100-continue\r\n" + length(size)));
+    EXPECT_EQ(status(client), 100) << size;
+    send_all(client, text(size));
+    EXPECT_EQ(status(client), 200) << size;
     EXPECT_EQ(s1.requests.back().body().size(), size);
   }
 }
 
-TEST_F(BodyTest, ALargeRequestBeyondTheQuotaIsRefusedBeforeItsBodyComes) {
+TEST_F(BodyTest, LargeRequestOverQuotaIsRejectedBeforeItsBodyArrives) {
   rig.config.settings.plans[0].rate = rig.config.settings.plans[0].burst = 1;
   rig.config.settings.gateway_count = 1;
   rig.start();
-  Client c = rig.client(), other = rig.client();
+  Client client = rig.client(), other = rig.client();
   other.send(get("a"));
   EXPECT_EQ(status(other), 200);
-  c.send(upload("b", "Expect: 100-continue\r\n" + length(200'000)));
-  const auto answer = c.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 429u);
-  EXPECT_FALSE(answer->keep_alive());
+  client.send(upload("b", "Expect: 100-continue\r\n" + length(200'000)));
+  const auto response = client.receive();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 429u);
+  EXPECT_FALSE(response->keep_alive());
 }
 
-TEST_F(BodyTest, ALargeRequestWhoseServerBreaksOffIsNotTriedAgain) {
+TEST_F(BodyTest, LargeRequestIsNotRetriedAfterItsEndpointDisconnects) {
   FakeServer s2(rig.io);
   rig.know(member("s2", s2));
   rig.start();
-  Client c = rig.client();
-  c.send(upload("a", length(900'000)) + text(100'000));
+  Client client = rig.client();
+  client.send(upload("a", length(900'000)) + text(100'000));
   ASSERT_TRUE(rig.until([&] {
     return (s1.peers.size() == 1 && !s1.peers[0]->pending.empty()) ||
            (s2.peers.size() == 1 && !s2.peers[0]->pending.empty());
   }));
   for (auto* s : {&s1, &s2})
     for (auto& p : s->peers) p->reset();
-  const auto answer = c.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_GE(answer->result_int(), 500u);
+  const auto response = client.receive();
+  ASSERT_TRUE(response);
+  EXPECT_GE(response->result_int(), 500u);
   EXPECT_EQ(s1.peers.size() + s2.peers.size(), 1u);
 }
 
-// A server that takes a large body late or never, and a client that has sent all of it at once.
+// An endpoint that reads a large body late or never, and a client that has sent all of it at once.
 class UnreadBodyTest : public BodyTest {
  protected:
   UnreadBodyTest() { rig.config.connect_timeout = 60'000'000; }
-  void starts_with(const tcp::acceptor& server) {
+  void start_with(const tcp::acceptor& server) {
     DiscoveredEndpoint m = member("s2", s1);
     m.address = server.local_endpoint();
     rig.config.initial_endpoints.endpoints = {m};
     rig.start();
     rig.clock.stop();
-    c.emplace(rig.client());
-    asio::async_write(c->socket, asio::buffer(request), [&](error_code ec, std::size_t) { sent = !ec; });
+    client.emplace(rig.client());
+    asio::async_write(client->socket, asio::buffer(request), [&](error_code ec, std::size_t) { sent = !ec; });
     ASSERT_TRUE(rig.until([&] { return sent; }));
-    passes(20'000);
+    advance(20'000);
   }
-  void passes(Micros time) {
-    rig.clock.move(time);
-    wait(rig.io, 60);  // timers have had their turn
+  void advance(Duration duration) {
+    rig.clock.move(duration);
+    wait(rig.io, 60);  // lets the timers run
   }
-  // The client, which waits for 4 s from its last byte on.
-  void is_told_in_its_time(Micros passed) {
-    passes(3'900'000 - passed);
-    EXPECT_EQ(c->socket.available(), 0u);
-    passes(90'000);
-    EXPECT_EQ(status(*c), 504);
+  // The client timeout is 4 s from the last byte of the request.
+  void expect_timeout_response(Duration elapsed) {
+    advance(3'900'000 - elapsed);
+    EXPECT_EQ(client->socket.available(), 0u);
+    advance(90'000);
+    EXPECT_EQ(status(*client), 504);
   }
   tcp::acceptor server{rig.io, {asio::ip::address_v4::loopback(), 0}, true};
   const std::string request = upload("a", length(300'000)) + text(300'000);
   bool sent = false;
-  std::optional<Client> c;
+  std::optional<Client> client;
 };
 
-TEST_F(UnreadBodyTest, EndsInTheTimeOfItsLastByteWhereItsServerHangs) {
-  starts_with(server);
-  is_told_in_its_time(20'000);
+TEST_F(UnreadBodyTest, TimesOutFromItsLastByteIfTheEndpointHangs) {
+  start_with(server);
+  expect_timeout_response(20'000);
 }
 
-TEST_F(UnreadBodyTest, EndsInTheTimeOfItsLastByteWhereNoConnectionComesUp) {
+TEST_F(UnreadBodyTest, TimesOutFromItsLastByteIfNoConnectionIsEstablished) {
   server.listen(0);
   tcp::socket filler(rig.io);
   filler.connect(server.local_endpoint());
-  starts_with(server);
-  is_told_in_its_time(20'000);
+  start_with(server);
+  expect_timeout_response(20'000);
 }
 
-TEST_F(UnreadBodyTest, EndsInTheTimeOfItsLastByteWhereItIsTakenLateAndNotAnswered) {
+TEST_F(UnreadBodyTest, TimesOutFromItsLastByteIfItIsReadLateAndNotAnswered) {
   std::shared_ptr<Peer> peer;
   std::size_t got = 0;
   tcp::socket accepted(rig.io);
   server.async_accept(accepted, [](error_code) {});
-  starts_with(server);
-  passes(3'000'000);
+  start_with(server);
+  advance(3'000'000);
   peer = std::make_shared<Peer>(std::move(accepted), [&](Peer&, std::string& in) {
     got += in.size();
     in.clear();
   });
   peer->read();
   ASSERT_TRUE(rig.until([&] { return got > 300'000; }));
-  is_told_in_its_time(3'020'000);
+  expect_timeout_response(3'020'000);
 }
 
-TEST_F(UnreadBodyTest, IsServedThoughItsServerTakesLongerThanTheClientWaitsFromItsLastByteOn) {
+TEST_F(UnreadBodyTest, IsServedIfTheEndpointReadsLongerThanTheClientTimeoutFromTheLastByte) {
   const std::string large = upload("a", length(16 << 20)) + text(16 << 20);
   tcp::socket accepted(rig.io);
   server.async_accept(accepted, [](error_code) {});
@@ -319,12 +320,12 @@
   rig.config.initial_endpoints.endpoints = {m};
   rig.start();
   rig.clock.stop();
-  c.emplace(rig.client());
-  send_all(*c, large);
+  client.emplace(rig.client());
+  send_all(*client, large);
   ASSERT_TRUE(rig.until([&] { return accepted.is_open(); }));
   std::vector<char> part(2 << 20);
-  for (int i = 0; i < 8; ++i) {  // 6.4 s in all, of the 4 s that the client waits
-    passes(800'000);
+  for (int i = 0; i < 8; ++i) {  // 6.4 s in all; the client timeout is 4 s
+    advance(800'000);
     bool got = false;
     asio::async_read(accepted, asio::buffer(part), [&](error_code ec, std::size_t) { got = !ec; });
     ASSERT_TRUE(rig.until([&] { return got; })) << i;
@@ -335,10 +336,10 @@
   peer->read();
   wait(rig.io, 60);
   peer->write(reply("200 OK", "", "late"));
-  EXPECT_EQ(status(*c), 200);
+  EXPECT_EQ(status(*client), 200);
 }
 
-TEST_F(UnreadBodyTest, IsWaitedForWhileTheClientHasYetToSendMoreThanItsKernelHolds) {
+TEST_F(UnreadBodyTest, IsAwaitedWhileMoreIsUnsentThanTheClientKernelCanBuffer) {
   rig.config.initial_endpoints.endpoints = {};
   DiscoveredEndpoint m = member("s2", s1);
   m.address = server.local_endpoint();
@@ -348,23 +349,23 @@
   Client slow = rig.client();
   slow.send(upload("slow", length(30'000'000)) + text(70'000));
   wait(rig.io, 20);
-  for (int i = 0; i < 5; ++i) passes(1'500'000);
+  for (int i = 0; i < 5; ++i) advance(1'500'000);
   EXPECT_EQ(slow.socket.available(), 0u);
   slow.socket.close();
 }
 
-TEST_F(BodyTest, WhatAStrangerGoesOnSendingIsNotReadForEver) {
+TEST_F(BodyTest, DataOfAnInvalidClientIsNotReadIndefinitely) {
   rig.start();
-  Client c = rig.client();
+  Client client = rig.client();
   std::optional<error_code> sent;
   const std::string all = "POST /nowhere HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + text(40'000'000);
-  asio::async_write(c.socket, asio::buffer(all), [&](error_code ec, std::size_t) { sent = ec; });
+  asio::async_write(client.socket, asio::buffer(all), [&](error_code ec, std::size_t) { sent = ec; });
   ASSERT_TRUE(rig.until([&] { return sent.has_value(); }));
-  EXPECT_TRUE(*sent);  // the end of the connection, and not of what it had to say
+  EXPECT_TRUE(*sent);  // the connection ended before all data was sent
 }
 
-TEST_F(BodyTest, IdleClientsThatFillTheDescriptorsHinderNothingWhileDiscoveryIsDown) {
-  // Guards against a discovery, counter or server that cannot be reached for want of a descriptor.
+TEST_F(BodyTest, IdleClientsAtTheDescriptorLimitBlockNothingDuringADiscoveryOutage) {
+  // Guards against a discovery, counter or endpoint that is unreachable because no descriptor is left.
   FakeCounter counter(rig.io);
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 1'000'000;
@@ -376,36 +377,36 @@
   rig.discovery.stop();
   std::deque<Client> idle;
   for (int i = 0; i < 200; ++i) idle.emplace_back(rig.io, rig.coordinator->address());
-  EXPECT_TRUE(idle.front().ended());  // all that clients may take is taken
-  Client c = rig.client();
-  c.send(get("a"));
-  EXPECT_EQ(status(c), 200);
+  EXPECT_TRUE(idle.front().ended());  // the descriptors for clients are used up
+  Client client = rig.client();
+  client.send(get("a"));
+  EXPECT_EQ(status(client), 200);
   EXPECT_FALSE(counter.calls.empty());
   FakeServer s2(rig.io);
   FakeDiscovery back(rig.io, at);
   back.first = list(42, true, entry("s2", s2.text()));
   ASSERT_TRUE(rig.until([&] { return back.asked.size() == 1; }));
   wait(rig.io, 20);
-  c.send(get("b"));
-  EXPECT_EQ(status(c), 200);
+  client.send(get("b"));
+  EXPECT_EQ(status(client), 200);
   EXPECT_EQ(s2.requests.size(), 1u);
 }
 
-TEST_F(BodyTest, ACrowdThatAsksForNothingKeepsNobodyOut) {
+TEST_F(BodyTest, ConnectionsWithoutRequestsDoNotKeepNewClientsOut) {
   rig.config.max_sockets = 64;
   rig.start();
   Client slow = rig.client();
   slow.send(get("slow").substr(0, 60));
-  std::deque<Client> crowd;
+  std::deque<Client> silent_clients;
   for (int i = 0; i < 60; ++i) {
-    crowd.emplace_back(rig.io, rig.coordinator->address());
+    silent_clients.emplace_back(rig.io, rig.coordinator->address());
     if (i % 10 != 9) continue;
-    Client c = rig.client();
-    c.send(get("t" + std::to_string(i)));
-    EXPECT_EQ(status(c), 200) << i;
+    Client client = rig.client();
+    client.send(get("t" + std::to_string(i)));
+    EXPECT_EQ(status(client), 200) << i;
   }
-  EXPECT_TRUE(crowd.front().ended());
-  slow.send(get("slow").substr(60));  // it has sent something, and so was kept
+  EXPECT_TRUE(silent_clients.front().ended());
+  slow.send(get("slow").substr(60));  // it has begun a request and so was not evicted
   EXPECT_EQ(status(slow), 200);
 }
 
--- a/tests/client/client_disconnect_test.cpp
+++ b/tests/client/client_disconnect_test.cpp
@@ -1,5 +1,5 @@
-// Clients that leave while their request waits, each in another place: nothing of it may be sent on
-// afterwards.
+// Tests of clients that disconnect while their request is pending, in each of its states. Nothing of the
+// request may be forwarded afterwards.
 #include <sys/file.h>
 
 #include "support/loopback.hpp"
@@ -8,18 +8,19 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-constexpr int kAfter = 100;  // ms after the client has left
+constexpr int kAfterDisconnect = 100;  // ms
 
-// With cancels allowed and not.
+// Parameter: whether attempts may be cancelled.
 class ClientDisconnectTest : public ::testing::TestWithParam<bool> {
  protected:
   ClientDisconnectTest() {
     rig.config.settings.allow_cancel = GetParam();
-    for (ClassSettings& c : rig.config.settings.classes)
-      c.latency_objective = 3'000'000;  // a quarter of which may be waited
+    for (ClassSettings& request_class : rig.config.settings.classes)
+      request_class.latency_objective =
+          3'000'000;  // a quarter of it is the longest wait in the admission queue
   }
-  // Whoever comes now is served, and alone.
-  void only_the_next_is_sent_on(FakeServer& server) {
+  // The next request is forwarded, and it is the only one.
+  void expect_only_next_request_forwarded(FakeServer& server) {
     Client next = rig.client();
     next.send(get("next"));
     ASSERT_TRUE(next.receive());
@@ -31,27 +32,27 @@
            "\r\nPlan: plan-group\r\nX-Expires-In: 4000m\r\nIdempotency-Key: k-" + id +
            "\r\nContent-Length: 100000\r\nQuota-Info: units=1,spread=3,first=0\r\n\r\n";
   }
-  void leaves_while_a_connection_comes_up(const std::string& request);
+  void disconnect_during_connect(const std::string& request);
   Rig rig;
   FakeServer s1{rig.io};
 };
 INSTANTIATE_TEST_SUITE_P(Cancels, ClientDisconnectTest, ::testing::Bool());
 
-TEST_P(ClientDisconnectTest, WhileItWaitedForAServer) {
+TEST_P(ClientDisconnectTest, WhileWaitingForAnEndpoint) {
   rig.discovery.first = "\n";
-  rig.start();  // knows no server
+  rig.start();  // without an endpoint
   {
-    Client c = rig.client();
-    c.send(get("left"));
+    Client client = rig.client();
+    client.send(get("disconnected"));
     wait(rig.io, 20);
   }
-  wait(rig.io, kAfter);
+  wait(rig.io, kAfterDisconnect);
   rig.discovery.tell(list(42, false, entry("s1", s1.text())));
   wait(rig.io, 20);
-  only_the_next_is_sent_on(s1);
+  expect_only_next_request_forwarded(s1);
 }
 
-TEST_P(ClientDisconnectTest, WhileItWaitedForTheCounter) {
+TEST_P(ClientDisconnectTest, WhileWaitingForTheCounter) {
   FakeCounter counter(rig.io);
   counter.silent = true;
   rig.config.settings.has_counter = true;
@@ -60,19 +61,20 @@
   rig.know(member("s1", s1));
   rig.start();
   {
-    Client c = rig.client();
-    c.send(get("left"));
+    Client client = rig.client();
+    client.send(get("disconnected"));
     ASSERT_TRUE(rig.until([&] { return counter.calls.size() == 1; }));
   }
-  wait(rig.io, kAfter);
+  wait(rig.io, kAfterDisconnect);
   EXPECT_TRUE(s1.requests.empty());
   counter.silent = false;
   counter.last->write("$1\r\n1\r\n");
-  only_the_next_is_sent_on(s1);
+  expect_only_next_request_forwarded(s1);
 }
 
-void ClientDisconnectTest::leaves_while_a_connection_comes_up(const std::string& request) {
-  // The server's line is full, and taken from only after the client has left; the kernel then tries again.
+void ClientDisconnectTest::disconnect_during_connect(const std::string& request) {
+  // The backlog of the endpoint is full until the client has disconnected; the kernel then retries the
+  // connect.
   tcp::acceptor full(rig.io, {asio::ip::address_v4::loopback(), 0}, true);
   full.listen(0);
   tcp::socket filler(rig.io);
@@ -83,27 +85,29 @@
   rig.config.connect_timeout = 3'500'000;
   rig.start();
   {
-    Client c = rig.client();
-    c.send(request);
+    Client client = rig.client();
+    client.send(request);
     wait(rig.io, 20);
   }
-  wait(rig.io, kAfter);
-  std::vector<std::shared_ptr<tcp::socket>> came;
+  wait(rig.io, kAfterDisconnect);
+  std::vector<std::shared_ptr<tcp::socket>> accepted;
   std::function<void()> accept = [&] {
-    full.async_accept([&](error_code ec, tcp::socket s) {
+    full.async_accept([&](error_code ec, tcp::socket socket) {
       if (ec) return;
-      came.push_back(std::make_shared<tcp::socket>(std::move(s)));
+      accepted.push_back(std::make_shared<tcp::socket>(std::move(socket)));
       accept();
     });
   };
   accept();
-  wait(rig.io, 1500);  // longer than the kernel's first try again
+  wait(rig.io, 1500);  // longer than the kernel's first retry
   error_code ignored;
-  for (const auto& s : came) EXPECT_EQ(s->available(ignored), 0u);
+  for (const auto& socket : accepted) EXPECT_EQ(socket->available(ignored), 0u);
   full.close();
 }
 
-TEST_P(ClientDisconnectTest, WhileAConnectionCameUpLate) { leaves_while_a_connection_comes_up(post("left")); }
+TEST_P(ClientDisconnectTest, WhileAConnectionIsEstablishedLate) {
+  disconnect_during_connect(post("disconnected"));
+}
 
 TEST_P(ClientDisconnectTest, BetweenTwoAttempts) {
   FakeServer busy(rig.io);
@@ -113,14 +117,14 @@
   rig.start();
   Client stays = rig.client();
   {
-    Client c = rig.client();
-    c.send(get("left"));
+    Client client = rig.client();
+    client.send(get("disconnected"));
     ASSERT_TRUE(rig.until([&] { return busy.requests.size() == 1; }));
     stays.send(get("stays"));
     ASSERT_TRUE(rig.until([&] { return busy.requests.size() == 2; }));
     wait(rig.io, 5);
   }
-  wait(rig.io, kAfter);
+  wait(rig.io, kAfterDisconnect);
   rig.discovery.tell(list(42, true, entry("s1", s1.text())));
   ASSERT_TRUE(stays.receive());
   EXPECT_EQ(busy.requests.size(), 2u);
@@ -128,68 +132,68 @@
   EXPECT_EQ(s1.requests[0]["X-Trace-Id"], "stays");
 }
 
-TEST_P(ClientDisconnectTest, BehindABodyThatNoServerTakesYet) {
-  // Guards against a client that goes unseen, as the end of its large body was left unread.
-  rig.start();  // knows no server
+TEST_P(ClientDisconnectTest, AfterABodyThatNoEndpointReadsYet) {
+  // Guards against a disconnect that is not noticed because the end of a large body is unread.
+  rig.start();  // without an endpoint
   {
-    Client c = rig.client();
-    c.send(upload("left") + std::string(100'000, 'x'));
+    Client client = rig.client();
+    client.send(upload("disconnected") + std::string(100'000, 'x'));
     wait(rig.io, 20);
   }
-  wait(rig.io, kAfter);
+  wait(rig.io, kAfterDisconnect);
   rig.discovery.tell(list(42, false, entry("s1", s1.text())));
   wait(rig.io, 20);
   ASSERT_TRUE(s1.peers.empty());
-  only_the_next_is_sent_on(s1);
+  expect_only_next_request_forwarded(s1);
 }
 
-TEST_P(ClientDisconnectTest, BehindABodyWhoseConnectionCameUpLate) {
-  leaves_while_a_connection_comes_up(upload("left") + std::string(100'000, 'x'));
+TEST_P(ClientDisconnectTest, AfterABodyWhoseConnectionIsEstablishedLate) {
+  disconnect_during_connect(upload("disconnected") + std::string(100'000, 'x'));
 }
 
-TEST_P(ClientDisconnectTest, BehindItsRequest) {
-  // Guards against a request sent on though its client's end was there to be read with it.
+TEST_P(ClientDisconnectTest, RightAfterItsRequest) {
+  // Guards against a request that is forwarded although the end of its connection could be read with it.
   rig.know(member("s1", s1));
   rig.start();
   {
-    Client c = rig.client();
-    c.send(get("left"));
+    Client client = rig.client();
+    client.send(get("disconnected"));
   }
-  only_the_next_is_sent_on(s1);
+  expect_only_next_request_forwarded(s1);
 }
 
-TEST_P(ClientDisconnectTest, HavingSentMoreThanIsReadAhead) {
-  // Guards against a client that goes unseen, as what it sent ahead was left unread.
-  rig.start();  // knows no server
+TEST_P(ClientDisconnectTest, AfterSendingMoreThanTheReadAheadLimit) {
+  // Guards against a disconnect that is not noticed because pipelined data is unread.
+  rig.start();  // without an endpoint
   {
-    Client c = rig.client();
-    c.send(get("left") + std::string(200'000, 'x'));
+    Client client = rig.client();
+    client.send(get("disconnected") + std::string(200'000, 'x'));
     wait(rig.io, 20);
   }
-  wait(rig.io, kAfter);
+  wait(rig.io, kAfterDisconnect);
   rig.discovery.tell(list(42, false, entry("s1", s1.text())));
   wait(rig.io, 20);
-  only_the_next_is_sent_on(s1);
+  expect_only_next_request_forwarded(s1);
 }
 
-TEST_P(ClientDisconnectTest, HavingSentMoreThanIsReadAheadAClientThatStaysHasItsAnswer) {
+TEST_P(ClientDisconnectTest, ClientThatStaysReceivesItsResponseBeyondTheReadAheadLimit) {
   rig.know(member("s1", s1));
-  std::shared_ptr<Peer> held;
-  s1.on_request = [&](Peer& p, const Request_&) { held = p.shared_from_this(); };
+  std::shared_ptr<Peer> pending_peer;
+  s1.on_request = [&](Peer& p, const Request_&) { pending_peer = p.shared_from_this(); };
   rig.start();
-  Client c = rig.client();
-  c.send(get("stays") + std::string(200'000, 'x'));
-  ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
+  Client client = rig.client();
+  client.send(get("stays") + std::string(200'000, 'x'));
+  ASSERT_TRUE(rig.until([&] { return pending_peer != nullptr; }));
   wait(rig.io, 20);
-  held->write(reply("200 OK", "", "held"));
-  const auto answer = c.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->body(), "held");
-  EXPECT_FALSE(answer->keep_alive());
+  pending_peer->write(reply("200 OK", "", "late"));
+  const auto response = client.receive();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->body(), "late");
+  EXPECT_FALSE(response->keep_alive());
 }
 
-// An attempt sent in the batch in which its client goes must be told as ended.
-TEST_P(ClientDisconnectTest, InTheBatchThatSendsItsAttempt) {
+// An attempt that starts in the batch in which its client disconnects must be reported as ended.
+TEST_P(ClientDisconnectTest, InTheBatchThatStartsItsAttempt) {
   FakeCounter counter(rig.io);
   counter.silent = true;
   rig.config.settings.gateway_count = 1;
@@ -200,22 +204,22 @@
   rig.know(member("s1", s1));
   rig.start();
   {
-    Client c = rig.client();
-    c.send(get("left"));
+    Client client = rig.client();
+    client.send(get("disconnected"));
     ASSERT_TRUE(rig.until([&] { return counter.calls.size() == 1; }));
     while (rig.io.poll() > 0) rig.io.restart();
     rig.io.restart();
-    counter.last->write("$1\r\n1\r\n");  // both are read in one turn of the loop
+    counter.last->write("$1\r\n1\r\n");  // both are read in one iteration of the event loop
   }
   wait(rig.io, 50);
   Client next = rig.client();
   next.send(get("next"));
-  const auto answer = next.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 200u);  // its place under the open cap is free
+  const auto response = next.receive();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 200u);  // its slot under the concurrency cap is free
 }
 
-TEST(Gone, WhileAProcessWaitedForTheOneBeforeIt) {
+TEST(ClientDisconnectDuringHotRestartTest, WhileTheProcessWaitsForItsPredecessor) {
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
@@ -225,11 +229,11 @@
                     alive = std::string(shared) + "/alive-before";
   std::ofstream(owner) << R"({"token":"before"})";
   const int lock = ::open(alive.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  ASSERT_EQ(::flock(lock, LOCK_EX | LOCK_NB), 0);  // lives, and never hands over
+  ASSERT_EQ(::flock(lock, LOCK_EX | LOCK_NB), 0);  // it is alive and never hands over
   tcp::acceptor platform(io, {asio::ip::address_v4::loopback(), 0});
   {
-    Client c(io, platform.local_endpoint());
-    c.send(get("left"));
+    Client client(io, platform.local_endpoint());
+    client.send(get("disconnected"));
   }
   Process p(config(platform.local_endpoint().port(), server, discovery), platform.native_handle(), shared);
   ASSERT_NE(p.log_until("does not answer").find("does not answer"), std::string::npos);
--- a/tests/client/shutdown_test.cpp
+++ b/tests/client/shutdown_test.cpp
@@ -1,4 +1,5 @@
-// Instants at which something is still owed: a drain, an exit, a signal while starting, a fault in mid-batch.
+// Tests of what must still be completed in a drain, at exit, after a signal during startup and after a
+// failure in the middle of a batch.
 #include <sys/ioctl.h>
 #include <sys/stat.h>
 
@@ -9,7 +10,7 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-// The clients' side alone; each request is served at once.
+// The client listener alone; each request is answered at once.
 class ClientListenerTest : public ::testing::Test {
  protected:
   ClientListenerTest() {
@@ -17,92 +18,94 @@
     read.name = "profile-read";
     read.idempotency = Idempotency::kIdempotent;
     settings.classes = {read};
-    front.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
+    listener.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
   }
   asio::io_context io;
   TestClock clock;
   Timers timers{io, clock};
   Settings settings;
-  std::string body = "x";  // of each answer
-  int taken = 0;           // requests
+  std::string body = "x";  // of each response
+  int request_count = 0;
   BodyBudget budget{1 << 20};
-  ClientListener::Callbacks callbacks(ClientListener& of) {
-    return {[this, &of](std::uint64_t client, ClientRequest) {
-              ++taken;
-              asio::post(io, [this, &of, client] { of.respond(client, {200, 0, body}); });
-              return std::uint64_t(1);
-            },
-            [](std::uint64_t, Micros) {},
-            [](std::uint64_t, Micros) {},
-            [](std::uint64_t) {},
-            [](std::uint64_t) {},
-            [] {}};
+  ClientListener::Callbacks callbacks(ClientListener& target) {
+    return {.on_request =
+                [this, &target](std::uint64_t client, ClientRequest) {
+                  ++request_count;
+                  asio::post(io, [this, &target, client] { target.respond(client, {200, 0, body}); });
+                  return std::uint64_t(1);
+                },
+            .on_body_complete = [](std::uint64_t, TimePoint) {},
+            .on_body_lagging = [](std::uint64_t, TimePoint) {},
+            .on_client_disconnected = [](std::uint64_t) {},
+            .on_writable = [](std::uint64_t) {},
+            .on_listening = [] {}};
   }
-  ClientListener front{io, timers, clock, settings, 100, budget, callbacks(front)};
+  ClientListener listener{io, timers, clock, settings, 100, budget, callbacks(listener)};
 };
 
-TEST_F(ClientListenerTest, AClientBetweenRequestsWithOneUnreadIsOwedAnAnswer) {
-  Client c(io, front.address());
-  c.send(get("a"));
-  ASSERT_TRUE(c.receive());
-  EXPECT_TRUE(front.is_idle());
-  c.send(get("b"));  // no turn of the loop between this and the look
-  EXPECT_FALSE(front.is_idle());
-  front.drain();
-  EXPECT_FALSE(front.is_idle());
-  EXPECT_TRUE(c.receive());
+TEST_F(ClientListenerTest, IdleClientWithAnUnreadRequestReceivesAResponse) {
+  Client client(io, listener.address());
+  client.send(get("a"));
+  ASSERT_TRUE(client.receive());
+  EXPECT_TRUE(listener.is_idle());
+  client.send(get("b"));  // the event loop does not run before the next check
+  EXPECT_FALSE(listener.is_idle());
+  listener.drain();
+  EXPECT_FALSE(listener.is_idle());
+  EXPECT_TRUE(client.receive());
 }
 
-TEST_F(ClientListenerTest, WhatTheKernelHasAcceptedIsAnsweredAfterTheLastAccept) {
+TEST_F(ClientListenerTest, RequestsInTheBacklogAreAnsweredAfterAcceptingStops) {
   std::deque<Client> clients;
   for (int i = 0; i < 5; ++i) {
-    clients.emplace_back(io, front.address());
+    clients.emplace_back(io, listener.address());
     clients.back().send(get("a"));
   }
-  front.drain();
-  front.stop_accepting();  // none has been accepted by us
-  for (Client& c : clients) EXPECT_TRUE(c.receive());
+  listener.drain();
+  listener.stop_accepting();  // none has been accepted by the listener
+  for (Client& client : clients) EXPECT_TRUE(client.receive());
 }
 
-TEST_F(ClientListenerTest, WhatComesAsAConnectionIsLeftIsNotReadAndTakesNoAnswerAlong) {
-  // Guards against a close that bytes cross: it resets the connection, with what the client has yet to take.
+TEST_F(ClientListenerTest, DataDuringAnOrderlyCloseIsNotProcessedAndDoesNotDestroyTheResponse) {
+  // Guards against a close that crosses arriving data: it resets the connection and destroys unread
+  // responses.
   body.assign(400'000, 'x');
-  Client c(io, front.address());
-  c.send(get("a"));
-  ASSERT_TRUE(until(io, [&] { return taken == 1 && c.socket.available() > 0; }));
-  wait(io, 20);  // all of it is the kernel's now, and a part of that the client's
-  front.drain();
-  c.send(get("b"));  // it has not seen yet that no more is answered
+  Client client(io, listener.address());
+  client.send(get("a"));
+  ASSERT_TRUE(until(io, [&] { return request_count == 1 && client.socket.available() > 0; }));
+  wait(io, 20);  // the kernel has all of it, and the client a part
+  listener.drain();
+  client.send(get("b"));  // it has not noticed the close yet
   wait(io, 20);
-  const auto answer = c.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_TRUE(answer->body() == body);
+  const auto response = client.receive();
+  ASSERT_TRUE(response);
+  EXPECT_TRUE(response->body() == body);
   std::optional<error_code> ended;
   char byte;
-  c.socket.async_read_some(asio::buffer(&byte, 1), [&](error_code ec, std::size_t) { ended = ec; });
+  client.socket.async_read_some(asio::buffer(&byte, 1), [&](error_code ec, std::size_t) { ended = ec; });
   ASSERT_TRUE(until(io, [&] { return ended.has_value(); }));
   EXPECT_EQ(*ended, asio::error::eof);
-  EXPECT_EQ(taken, 1);
+  EXPECT_EQ(request_count, 1);
 }
 
-TEST_F(ClientListenerTest, ALastAnswerThatItsClientTakesSlowlyIsNotTakenAwayByWhatTheClientSends) {
+TEST_F(ClientListenerTest, LastResponseToASlowReaderIsNotDestroyedByFurtherRequests) {
   body.assign(400'000, 'x');
-  front.drain();
-  Client c(io, front.address());
-  c.send(get("a"));
-  ASSERT_TRUE(until(io, [&] { return taken == 1 && c.socket.available() > 0; }));
+  listener.drain();
+  Client client(io, listener.address());
+  client.send(get("a"));
+  ASSERT_TRUE(until(io, [&] { return request_count == 1 && client.socket.available() > 0; }));
   wait(io, 20);
   clock.move(3'000'000);
-  wait(io, 250);  // a sweep has passed
-  c.send(get("b"));
+  wait(io, 250);  // longer than the interval of the stall checks
+  client.send(get("b"));
   wait(io, 20);
-  const auto answer = c.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_TRUE(answer->body() == body);
-  EXPECT_EQ(taken, 1);
+  const auto response = client.receive();
+  ASSERT_TRUE(response);
+  EXPECT_TRUE(response->body() == body);
+  EXPECT_EQ(request_count, 1);
 }
 
-TEST_F(ClientListenerTest, AClientWhoseAnswerIsNotAllTakenMakesNoRoomForAnother) {
+TEST_F(ClientListenerTest, ClientWithAnUnacknowledgedResponseIsNotEvicted) {
   ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
   small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
   Client first(io, small.address()), second(io, small.address());
@@ -114,78 +117,78 @@
   second.send(get("a"));
   ASSERT_TRUE(second.receive());
   Client third(io, small.address());
-  third.send(get("c"));  // the longest quiet one would go first
+  third.send(get("c"));  // the one that is idle for longest would be evicted first
   EXPECT_TRUE(third.receive());
   first.send(get("b"));
   wait(io, 20);
-  const auto answer = first.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->body().size(), 400'000u);
+  const auto response = first.receive();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->body().size(), 400'000u);
   EXPECT_TRUE(second.ended());
 }
 
-TEST_F(ClientListenerTest, ThoseThatHaveTheirLastAnswerKeepNoClientWaiting) {
-  // Guards against requests that wait in the backlog, their time running, behind strangers that do not close.
+TEST_F(ClientListenerTest, ClosingConnectionsDoNotDelayNewClients) {
+  // Guards against requests that wait in the backlog while invalid clients do not close their connections.
   ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
   small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
   clock.stop();
-  std::deque<Client> strangers;
+  std::deque<Client> invalid_clients;
   for (int i = 0; i < 3; ++i) {
-    strangers.emplace_back(io, small.address());
-    strangers.back().send("nonsense\r\n\r\n");
-    ASSERT_TRUE(strangers.back().receive());
+    invalid_clients.emplace_back(io, small.address());
+    invalid_clients.back().send("nonsense\r\n\r\n");
+    ASSERT_TRUE(invalid_clients.back().receive());
   }
-  Client c(io, small.address());
-  c.send(get("a"));
-  for (int i = 0; i < 25 && taken == 0; ++i) {  // half of the second that they may linger
+  Client client(io, small.address());
+  client.send(get("a"));
+  for (int i = 0; i < 25 && request_count == 0; ++i) {  // half of the linger timeout of one second
     timers.schedule_after(1'000, [] {});
     clock.move(20'000);
     wait(io, 10);
   }
-  EXPECT_EQ(taken, 1);
+  EXPECT_EQ(request_count, 1);
 }
 
-TEST_F(ClientListenerTest, AClientWithARequestUnreadMakesNoRoomForAnother) {
+TEST_F(ClientListenerTest, ClientWithAnUnreadRequestIsNotEvicted) {
   ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
   small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
   Client first(io, small.address()), second(io, small.address());
-  for (Client* c : {&first, &second}) {
-    c->send(get("a"));
-    ASSERT_TRUE(c->receive());
+  for (Client* client : {&first, &second}) {
+    client->send(get("a"));
+    ASSERT_TRUE(client->receive());
   }
-  Client third(io, small.address());  // the line has it, and its request is read in the turn that takes it
-  first.send(get("b"));               // the longest quiet one would go first
+  Client third(io, small.address());  // it is in the backlog, and its request is read when it is accepted
+  first.send(get("b"));               // the one that is idle for longest would be evicted first
   EXPECT_TRUE(first.receive());
   third.send(get("c"));
   EXPECT_TRUE(third.receive());
   EXPECT_TRUE(second.ended());
 }
 
-TEST(Ending, ATerminationRightBehindAHangupFinishesWhatIsHeld) {
+TEST(ShutdownTest, TerminationRightAfterAReloadFinishesPendingRequests) {
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery before(io), after(io);
-  std::shared_ptr<Peer> held;
-  server.on_request = [&](Peer& p, const Request_&) { held = p.shared_from_this(); };
+  std::shared_ptr<Peer> pending_peer;
+  server.on_request = [&](Peer& p, const Request_&) { pending_peer = p.shared_from_this(); };
   const auto port = free_port(io);
   Process p(config(port, server, before));
   ASSERT_NE(p.log_until("ready").find("ready"), std::string::npos);
-  Client c(io, {asio::ip::address_v4::loopback(), port});
-  c.send(get("a"));
-  ASSERT_TRUE(until(io, [&] { return held != nullptr; }));
+  Client client(io, {asio::ip::address_v4::loopback(), port});
+  client.send(get("a"));
+  ASSERT_TRUE(until(io, [&] { return pending_peer != nullptr; }));
   p.reconfigure(config(port, server, after));
   p.terminate();
   ASSERT_NE(p.log_until("draining").find("draining"), std::string::npos);
-  held->write(reply("200 OK", "", "held"));
-  const auto answer = c.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->body(), "held");
-  EXPECT_TRUE(c.ended());
+  pending_peer->write(reply("200 OK", "", "late"));
+  const auto response = client.receive();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->body(), "late");
+  EXPECT_TRUE(client.ended());
   EXPECT_EQ(p.exit_code(), 0);
 }
 
-TEST(Ending, AProcessKilledInMidAnswerLeavesNoClientTheBeliefThatItHasTheWhole) {
-  // A client of HTTP/1.0 takes an orderly close for the end of an answer without a length.
+TEST(ShutdownTest, ClientOfAKilledProcessDoesNotTakeATruncatedResponseAsComplete) {
+  // An HTTP/1.0 client takes an orderly close for the end of a response without a length.
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
@@ -197,70 +200,71 @@
   const auto port = free_port(io);
   Process p(config(port, server, discovery));
   ASSERT_NE(p.log_until("ready").find("ready"), std::string::npos);
-  Client c(io, {asio::ip::address_v4::loopback(), port});
+  Client client(io, {asio::ip::address_v4::loopback(), port});
   std::string request = get("a");
   request.replace(request.find("HTTP/1.1") + 5, 3, "1.0");
-  c.send(request);
-  ASSERT_TRUE(until(io, [&] { return c.socket.available() > 100'000; }));
+  client.send(request);
+  ASSERT_TRUE(until(io, [&] { return client.socket.available() > 100'000; }));
   p.kill();
-  EXPECT_FALSE(c.receive());
+  EXPECT_FALSE(client.receive());
 }
 
-TEST(Ending, AnAnswerIsOwedUntilItsClientHasTakenIt) {
+TEST(ShutdownTest, DrainWaitsUntilTheClientHasReceivedItsResponse) {
   Rig rig;
   FakeServer s1(rig.io);
-  std::shared_ptr<Peer> held;
-  s1.on_request = [&](Peer& p, const Request_&) { held = p.shared_from_this(); };
+  std::shared_ptr<Peer> pending_peer;
+  s1.on_request = [&](Peer& p, const Request_&) { pending_peer = p.shared_from_this(); };
   rig.know(member("s1", s1));
   Coordinator& coordinator = rig.start();
-  std::optional<Client> c(rig.client());
-  c->send(post("a"));
-  ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
+  std::optional<Client> client(rig.client());
+  client->send(post("a"));
+  ASSERT_TRUE(rig.until([&] { return pending_peer != nullptr; }));
   bool done = false;
   coordinator.drain([&] { done = true; });
-  wait(rig.io, 1100);  // new ones are let in for 1 s
-  held->write(reply("200 OK", "", "held"));
-  ASSERT_TRUE(rig.until([&] { return c->socket.available() > 0; }));
+  wait(rig.io, 1100);  // new connections are accepted for 1 s
+  pending_peer->write(reply("200 OK", "", "late"));
+  ASSERT_TRUE(rig.until([&] { return client->socket.available() > 0; }));
   wait(rig.io, 100);
   EXPECT_FALSE(done);
-  EXPECT_TRUE(c->receive());
-  c.reset();
+  EXPECT_TRUE(client->receive());
+  client.reset();
   EXPECT_TRUE(rig.until([&] { return done; }));
 }
 
-TEST(Ending, OneTimerThatFailsLeavesTheOthersOfItsInstant) {
+TEST(ShutdownTest, FailedTimerCallbackDoesNotStopOthersOfTheSameInstant) {
   asio::io_context io;
   Clock clock;
   Timers timers(io, clock);
   int fired = 0;
-  const Micros at = clock.now() + 1000;
+  const TimePoint at = clock.now() + 1000;
   timers.schedule_at(at, [] { throw std::runtime_error("first"); });
   for (int i = 0; i < 3; ++i) timers.schedule_at(at, [&] { ++fired; });
   EXPECT_THROW(until(io, [&] { return fired == 3; }), std::runtime_error);
   EXPECT_TRUE(until(io, [&] { return fired == 3; }));
 }
 
-TEST(Ending, OneActionThatFailsLeavesTheOthersOfItsBatch) {
+TEST(ShutdownTest, FailedActionDoesNotStopOthersOfItsBatch) {
   Rig rig;
-  rig.start();  // knows no server; a log line, which fails here, comes before the timer that ends the wait
-  Client c = rig.client();
+  rig.start();  // without an endpoint; the log line, which fails here, is written before the timer for the
+                // wait
+  Client client = rig.client();
   struct Broken : std::streambuf {
-  } broken;  // takes nothing
+  } broken;  // accepts no output
   const auto kept = std::cerr.rdbuf(&broken);
   std::cerr.exceptions(std::ios::badbit);
-  c.send(get("a"));
-  const auto answer = c.receive();
+  client.send(get("a"));
+  const auto response = client.receive();
   std::cerr.exceptions(std::ios::goodbit);
   std::cerr.rdbuf(kept);
   std::cerr.clear();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(),
-            429u);  // refused once it had waited; nothing but the backstop ends it with 502
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(),
+            429u);  // rejected after its wait; a lost action would end in 502
 }
 
-TEST(Ending, ATerminationWhileStartingIsHeeded) {
-  // Guards against a process ended by the signal with clients in its socket: it is held half way through its
-  // configuration here.
+TEST(ShutdownTest, TerminationDuringStartupIsHandled) {
+  // Guards against a process that is killed by the signal with clients in its backlog. Here it blocks in the
+  // middle of reading its configuration.
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
@@ -282,7 +286,7 @@
   ::rmdir(dir);
 }
 
-TEST(Ending, AKeyedRequestIsNotRepeatedWhereALateConnectionWouldCarryItPastItsWindow) {
+TEST(ShutdownTest, KeyedRequestIsNotRetriedIfALateConnectionWouldExceedTheDedupWindow) {
   Rig rig;
   FakeServer s1(rig.io), s2(rig.io);
   asio::steady_timer timer(rig.io);
@@ -297,11 +301,11 @@
   rig.know(member("s1", s1));
   rig.know(member("s2", s2));
   rig.start();
-  Client c = rig.client();
-  c.send(post("a"));
-  const auto answer = c.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 502u);
+  Client client = rig.client();
+  client.send(post("a"));
+  const auto response = client.receive();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 502u);
   EXPECT_EQ(seen, 1);
 }
 
