--- a/src/client/client_session.cpp
+++ b/src/client/client_session.cpp
@@ -48,7 +48,7 @@
   is_read_pending_ = false;
   last_byte_.on_readable(now());
   // While a request is pending, reading continues until the kernel has no more: the end of the connection may
-  // stand right behind the request, and is to be seen before the request is forwarded.
+  // follow the request directly, and has to be noticed before the request is forwarded.
   do {
     if (state_ == State::kClosed) return;
     std::size_t size = 0;
--- a/src/client/response_writer.cpp
+++ b/src/client/response_writer.cpp
@@ -8,7 +8,7 @@
 #include <cstdio>
 #include <utility>
 
-#include "client/stall_detector.hpp"
+#include "client/client_timeouts.hpp"
 #include "network/stream_io.hpp"
 
 namespace quota_gateway::net {
--- a/src/client/response_writer.hpp
+++ b/src/client/response_writer.hpp
@@ -31,7 +31,7 @@
 
   // Keeps the owner, and the writer in it, alive during an asynchronous operation.
   virtual std::shared_ptr<void> retain() = 0;
-  // All chunks so far are written and the response is not finished.
+  // All chunks so far are written, and the response is not finished.
   virtual void on_chunks_written() = 0;
   // The response is written to its end.
   virtual void on_response_written() = 0;
@@ -62,7 +62,7 @@
 
   // Whether a streamed response has begun and is not finished.
   [[nodiscard]] bool is_streaming() const { return state_ == State::kStreaming; }
-  // Whether the client has taken nothing for longer than the write timeout.
+  // Whether the client has accepted no data for longer than the write timeout.
   [[nodiscard]] bool is_stalled(TimePoint now) const;
 
  private:
--- a/src/client/stall_detector.hpp
+++ b/src/client/stall_detector.hpp
@@ -3,16 +3,11 @@
 
 #include <cstdint>
 
+#include "client/client_timeouts.hpp"
 #include "quota_gateway/time.hpp"
 
 namespace quota_gateway::net {
 
-// How long a client may read nothing of a response before its connection is reset, and the upper limit of the
-// time that a connection takes to close.
-constexpr Duration kClientWriteTimeout = 10'000'000;  // us
-// How long a client may take to read its last response before the connection is closed.
-constexpr Duration kLingerTimeout = 1'000'000;  // us
-
 // Measures the progress of one client's requests. Time in which the gateway itself did not read, because the
 // endpoint was slow to take the body, does not count against the client.
 class StallDetector {
@@ -21,17 +16,17 @@
 
   // The connection entered another state.
   void on_state_entered(TimePoint now) { waiting_since_ = now; }
-  // Data, or more of it, arrived from the client.
+  // Data arrived from the client.
   void on_read(TimePoint now) { last_read_at_ = now; }
   // The response is written, so that the client may send its next request.
   void on_response_written(TimePoint now) { request_awaited_since_ = now; }
-  // The first byte of a request is there.
+  // The first byte of a request arrived.
   void on_request_started(TimePoint now);
-  // So much of the request's body was decoded.
+  // A part of the request's body was decoded.
   void on_body_data(std::uint64_t bytes) { body_bytes_ += bytes; }
   // The streamed body has filled its buffer. Repeated calls keep the first instant.
   void on_backpressure_started(TimePoint now);
-  // The endpoint took the buffered data; the client's time counts from now on.
+  // The endpoint has accepted the buffered data; from now on the client's time counts.
   void on_backpressure_ended(TimePoint now);
 
   // Whether the client has sent nothing for longer than the stall timeout.
--- a/tests/client/body_transfer_test.cpp
+++ b/tests/client/body_transfer_test.cpp
@@ -34,10 +34,10 @@
     auto buffer = std::make_shared<std::string>(bytes);
     asio::async_write(client.socket, asio::buffer(*buffer), [buffer](error_code, std::size_t) {});
   }
-  static void write_all(Peer& p, const std::string& bytes) {
+  static void write_all(Peer& connection, const std::string& bytes) {
     auto buffer = std::make_shared<std::string>(bytes);
-    asio::async_write(p.socket, asio::buffer(*buffer),
-                      [buffer, self = p.shared_from_this()](error_code, std::size_t) {});
+    asio::async_write(connection.socket, asio::buffer(*buffer),
+                      [buffer, self = connection.shared_from_this()](error_code, std::size_t) {});
   }
   Rig rig;
   FakeServer s1{rig.io};
@@ -45,13 +45,13 @@
 
 TEST_F(BodyTest, LargeResponseIsForwardedUnchangedWithLengthAndInChunks) {
   const std::string body = text(900'000);
-  s1.on_request = [&](Peer& p, const Request_& r) {
+  s1.on_request = [&](Peer& connection, const Request_& r) {
     if (r["X-Trace-Id"] == "chunked")
-      write_all(p, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                       FakeDiscovery::chunk(body.substr(0, 300'000)) +
-                       FakeDiscovery::chunk(body.substr(300'000)) + "0\r\nX-Trailer: t\r\n\r\n");
+      write_all(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                                FakeDiscovery::chunk(body.substr(0, 300'000)) +
+                                FakeDiscovery::chunk(body.substr(300'000)) + "0\r\nX-Trailer: t\r\n\r\n");
     else
-      write_all(p, reply("200 OK", "", body));
+      write_all(connection, reply("200 OK", "", body));
   };
   rig.start();
   Client client = rig.client();
@@ -70,9 +70,9 @@
 
 TEST_F(BodyTest, TruncatedLargeResponseIsAbortedAndNotRetried) {
   FakeServer s2(rig.io);
-  s1.on_request = s2.on_request = [&](Peer& p, const Request_&) {
-    p.write("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + text(100'000));
-    p.close();
+  s1.on_request = s2.on_request = [&](Peer& connection, const Request_&) {
+    connection.write("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + text(100'000));
+    connection.close();
   };
   rig.know(member("s2", s2));
   rig.start();
@@ -87,9 +87,9 @@
   // reset.
   const std::string body = text(100'000);
   std::shared_ptr<Peer> peer;
-  s1.on_request = [&](Peer& p, const Request_&) {
-    peer = p.shared_from_this();
-    write_all(p, "HTTP/1.1 200 OK\r\n\r\n" + body);
+  s1.on_request = [&](Peer& connection, const Request_&) {
+    peer = connection.shared_from_this();
+    write_all(connection, "HTTP/1.1 200 OK\r\n\r\n" + body);
   };
   rig.start();
   for (const std::string version : {"1.1", "1.0"})
@@ -116,9 +116,9 @@
   const auto [version, length] = GetParam();
   const std::string body = text(100'000);
   std::shared_ptr<Peer> peer;
-  s1.on_request = [&, length = length](Peer& p, const Request_&) {
-    peer = p.shared_from_this();
-    write_all(p, std::string("HTTP/1.1 200 OK\r\n") + length + "\r\n" + body);
+  s1.on_request = [&, length = length](Peer& connection, const Request_&) {
+    peer = connection.shared_from_this();
+    write_all(connection, std::string("HTTP/1.1 200 OK\r\n") + length + "\r\n" + body);
   };
   rig.start();
   rig.clock.stop();
@@ -142,9 +142,9 @@
 TEST_F(BodyTest, ResponseInProgressIsNotAbortedAfterTheClientTimeout) {
   const std::string body = text(100'000);
   std::shared_ptr<Peer> peer;
-  s1.on_request = [&](Peer& p, const Request_&) {
-    peer = p.shared_from_this();
-    write_all(p, "HTTP/1.1 200 OK\r\nContent-Length: 100030\r\n\r\n" + body);
+  s1.on_request = [&](Peer& connection, const Request_&) {
+    peer = connection.shared_from_this();
+    write_all(connection, "HTTP/1.1 200 OK\r\nContent-Length: 100030\r\n\r\n" + body);
   };
   rig.start();
   rig.clock.stop();
@@ -164,8 +164,8 @@
 }
 
 TEST_F(BodyTest, ClientThatDisconnectsDuringAResponseEndsItsAttempt) {
-  s1.on_request = [&](Peer& p, const Request_&) {
-    p.write("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + text(100'000));
+  s1.on_request = [&](Peer& connection, const Request_&) {
+    connection.write("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + text(100'000));
   };
   rig.start();
   {
@@ -187,14 +187,14 @@
   EXPECT_EQ(status(client), 200);
   send_all(client, upload("chunked", "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n") +
                        FakeDiscovery::chunk(body.substr(0, 700'000)) +
-                       FakeDiscovery::chunk(body.substr(700'000)) + "0\r\nX-T: t\r\n\r\n" + get("behind"));
+                       FakeDiscovery::chunk(body.substr(700'000)) + "0\r\nX-T: t\r\n\r\n" + get("pipelined"));
   EXPECT_EQ(status(client), 200);
   EXPECT_EQ(status(client), 200);
   ASSERT_EQ(s1.requests.size(), 3u);
   EXPECT_TRUE(s1.requests[0].body() == body);
   EXPECT_TRUE(s1.requests[1].body() == body);
   EXPECT_EQ(s1.requests[1]["Idempotency-Key"], "k-chunked");
-  EXPECT_EQ(s1.requests[2]["X-Trace-Id"], "behind");
+  EXPECT_EQ(s1.requests[2]["X-Trace-Id"], "pipelined");
 }
 
 TEST_F(BodyTest, SmallChunkedRequestIsBufferedAndForwardedWithLength) {
@@ -222,7 +222,8 @@
   rig.config.settings.plans[0].rate = rig.config.settings.plans[0].burst = 1;
   rig.config.settings.gateway_count = 1;
   rig.start();
-  Client client = rig.client(), other = rig.client();
+  Client client = rig.client();
+  Client other = rig.client();
   other.send(get("a"));
   EXPECT_EQ(status(other), 200);
   client.send(upload("b", "Expect: 100-continue\r\n" + length(200'000)));
@@ -242,8 +243,8 @@
     return (s1.peers.size() == 1 && !s1.peers[0]->pending.empty()) ||
            (s2.peers.size() == 1 && !s2.peers[0]->pending.empty());
   }));
-  for (auto* s : {&s1, &s2})
-    for (auto& p : s->peers) p->reset();
+  for (FakeServer* endpoint : {&s1, &s2})
+    for (const auto& connection : endpoint->peers) connection->reset();
   const auto response = client.receive();
   ASSERT_TRUE(response);
   EXPECT_GE(response->result_int(), 500u);
@@ -255,9 +256,9 @@
  protected:
   UnreadBodyTest() { rig.config.connect_timeout = 60'000'000; }
   void start_with(const tcp::acceptor& server) {
-    DiscoveredEndpoint m = member("s2", s1);
-    m.address = server.local_endpoint();
-    rig.config.initial_endpoints.endpoints = {m};
+    DiscoveredEndpoint endpoint = member("s2", s1);
+    endpoint.address = server.local_endpoint();
+    rig.config.initial_endpoints.endpoints = {endpoint};
     rig.start();
     rig.clock.stop();
     client.emplace(rig.client());
@@ -315,9 +316,9 @@
   const std::string large = upload("a", length(16 << 20)) + text(16 << 20);
   tcp::socket accepted(rig.io);
   server.async_accept(accepted, [](error_code) {});
-  DiscoveredEndpoint m = member("s2", s1);
-  m.address = server.local_endpoint();
-  rig.config.initial_endpoints.endpoints = {m};
+  DiscoveredEndpoint endpoint = member("s2", s1);
+  endpoint.address = server.local_endpoint();
+  rig.config.initial_endpoints.endpoints = {endpoint};
   rig.start();
   rig.clock.stop();
   client.emplace(rig.client());
@@ -341,9 +342,9 @@
 
 TEST_F(UnreadBodyTest, IsAwaitedWhileMoreIsUnsentThanTheClientKernelCanBuffer) {
   rig.config.initial_endpoints.endpoints = {};
-  DiscoveredEndpoint m = member("s2", s1);
-  m.address = server.local_endpoint();
-  rig.config.initial_endpoints.endpoints = {m};
+  DiscoveredEndpoint endpoint = member("s2", s1);
+  endpoint.address = server.local_endpoint();
+  rig.config.initial_endpoints.endpoints = {endpoint};
   rig.start();
   rig.clock.stop();
   Client slow = rig.client();
--- a/tests/client/client_disconnect_test.cpp
+++ b/tests/client/client_disconnect_test.cpp
@@ -79,9 +79,9 @@
   full.listen(0);
   tcp::socket filler(rig.io);
   filler.connect(full.local_endpoint());
-  DiscoveredEndpoint m = member("s1", s1);
-  m.address = full.local_endpoint();
-  rig.know(m);
+  DiscoveredEndpoint endpoint = member("s1", s1);
+  endpoint.address = full.local_endpoint();
+  rig.know(endpoint);
   rig.config.connect_timeout = 3'500'000;
   rig.start();
   {
@@ -111,7 +111,9 @@
 
 TEST_P(ClientDisconnectTest, BetweenTwoAttempts) {
   FakeServer busy(rig.io);
-  busy.on_request = [](Peer& p, const Request_&) { p.write(reply("503 No", "X-Never-Ran: 1\r\n")); };
+  busy.on_request = [](Peer& connection, const Request_&) {
+    connection.write(reply("503 No", "X-Never-Ran: 1\r\n"));
+  };
   rig.know(member("s0", busy));
   rig.config.settings.max_attempts = 2;
   rig.start();
@@ -179,7 +181,7 @@
 TEST_P(ClientDisconnectTest, ClientThatStaysReceivesItsResponseBeyondTheReadAheadLimit) {
   rig.know(member("s1", s1));
   std::shared_ptr<Peer> pending_peer;
-  s1.on_request = [&](Peer& p, const Request_&) { pending_peer = p.shared_from_this(); };
+  s1.on_request = [&](Peer& connection, const Request_&) { pending_peer = connection.shared_from_this(); };
   rig.start();
   Client client = rig.client();
   client.send(get("stays") + std::string(200'000, 'x'));
@@ -225,8 +227,8 @@
   FakeDiscovery discovery(io);
   char shared[] = "/tmp/quota-gateway-test-XXXXXX";
   ASSERT_NE(::mkdtemp(shared), nullptr);
-  const std::string owner = std::string(shared) + "/owner.json",
-                    alive = std::string(shared) + "/alive-before";
+  const std::string owner = std::string(shared) + "/owner.json";
+  const std::string alive = std::string(shared) + "/alive-before";
   std::ofstream(owner) << R"({"token":"before"})";
   const int lock = ::open(alive.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   ASSERT_EQ(::flock(lock, LOCK_EX | LOCK_NB), 0);  // it is alive and never hands over
@@ -235,15 +237,16 @@
     Client client(io, platform.local_endpoint());
     client.send(get("disconnected"));
   }
-  Process p(config(platform.local_endpoint().port(), server, discovery), platform.native_handle(), shared);
-  ASSERT_NE(p.log_until("does not answer").find("does not answer"), std::string::npos);
+  Process process(config(platform.local_endpoint().port(), server, discovery), platform.native_handle(),
+                  shared);
+  ASSERT_NE(process.log_until("does not answer").find("does not answer"), std::string::npos);
   Client next(io, platform.local_endpoint());
   next.send(get("next"));
   ASSERT_TRUE(next.receive());
   ASSERT_EQ(server.requests.size(), 1u);
   EXPECT_EQ(server.requests[0]["X-Trace-Id"], "next");
-  p.terminate();
-  EXPECT_EQ(p.exit_code(), 0);
+  process.terminate();
+  EXPECT_EQ(process.exit_code(), 0);
   ::close(lock);
   for (const char* file : {"owner.json", "alive-before"})
     ::unlink((std::string(shared) + "/" + file).c_str());
--- a/tests/client/shutdown_test.cpp
+++ b/tests/client/shutdown_test.cpp
@@ -108,7 +108,8 @@
 TEST_F(ClientListenerTest, ClientWithAnUnacknowledgedResponseIsNotEvicted) {
   ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
   small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
-  Client first(io, small.address()), second(io, small.address());
+  Client first(io, small.address());
+  Client second(io, small.address());
   body.assign(400'000, 'x');
   first.send(get("a"));
   ASSERT_TRUE(until(io, [&] { return first.socket.available() > 0; }));
@@ -151,7 +152,8 @@
 TEST_F(ClientListenerTest, ClientWithAnUnreadRequestIsNotEvicted) {
   ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
   small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
-  Client first(io, small.address()), second(io, small.address());
+  Client first(io, small.address());
+  Client second(io, small.address());
   for (Client* client : {&first, &second}) {
     client->send(get("a"));
     ASSERT_TRUE(client->receive());
@@ -167,24 +169,27 @@
 TEST(ShutdownTest, TerminationRightAfterAReloadFinishesPendingRequests) {
   asio::io_context io;
   FakeServer server(io);
-  FakeDiscovery before(io), after(io);
+  FakeDiscovery before(io);
+  FakeDiscovery after(io);
   std::shared_ptr<Peer> pending_peer;
-  server.on_request = [&](Peer& p, const Request_&) { pending_peer = p.shared_from_this(); };
+  server.on_request = [&](Peer& connection, const Request_&) {
+    pending_peer = connection.shared_from_this();
+  };
   const auto port = free_port(io);
-  Process p(config(port, server, before));
-  ASSERT_NE(p.log_until("ready").find("ready"), std::string::npos);
+  Process process(config(port, server, before));
+  ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
   Client client(io, {asio::ip::address_v4::loopback(), port});
   client.send(get("a"));
   ASSERT_TRUE(until(io, [&] { return pending_peer != nullptr; }));
-  p.reconfigure(config(port, server, after));
-  p.terminate();
-  ASSERT_NE(p.log_until("draining").find("draining"), std::string::npos);
+  process.reconfigure(config(port, server, after));
+  process.terminate();
+  ASSERT_NE(process.log_until("draining").find("draining"), std::string::npos);
   pending_peer->write(reply("200 OK", "", "late"));
   const auto response = client.receive();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "late");
   EXPECT_TRUE(client.ended());
-  EXPECT_EQ(p.exit_code(), 0);
+  EXPECT_EQ(process.exit_code(), 0);
 }
 
 TEST(ShutdownTest, ClientOfAKilledProcessDoesNotTakeATruncatedResponseAsComplete) {
@@ -192,20 +197,20 @@
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
-  server.on_request = [](Peer& p, const Request_&) {
+  server.on_request = [](Peer& connection, const Request_&) {
     const auto all = std::make_shared<std::string>("HTTP/1.1 200 OK\r\n\r\n" + std::string(100'000, 'x'));
-    asio::async_write(p.socket, asio::buffer(*all),
-                      [all, self = p.shared_from_this()](error_code, std::size_t) {});
+    asio::async_write(connection.socket, asio::buffer(*all),
+                      [all, self = connection.shared_from_this()](error_code, std::size_t) {});
   };
   const auto port = free_port(io);
-  Process p(config(port, server, discovery));
-  ASSERT_NE(p.log_until("ready").find("ready"), std::string::npos);
+  Process process(config(port, server, discovery));
+  ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
   Client client(io, {asio::ip::address_v4::loopback(), port});
   std::string request = get("a");
   request.replace(request.find("HTTP/1.1") + 5, 3, "1.0");
   client.send(request);
   ASSERT_TRUE(until(io, [&] { return client.socket.available() > 100'000; }));
-  p.kill();
+  process.kill();
   EXPECT_FALSE(client.receive());
 }
 
@@ -213,7 +218,7 @@
   Rig rig;
   FakeServer s1(rig.io);
   std::shared_ptr<Peer> pending_peer;
-  s1.on_request = [&](Peer& p, const Request_&) { pending_peer = p.shared_from_this(); };
+  s1.on_request = [&](Peer& connection, const Request_&) { pending_peer = connection.shared_from_this(); };
   rig.know(member("s1", s1));
   Coordinator& coordinator = rig.start();
   std::optional<Client> client(rig.client());
@@ -273,28 +278,29 @@
   const std::string fifo = std::string(dir) + "/config", text = config(free_port(io), server, discovery);
   ASSERT_EQ(::mkfifo(fifo.c_str(), 0600), 0);
   const int file = ::open(fifo.c_str(), O_RDWR | O_CLOEXEC);
-  Process p(Process::From{fifo});
+  Process process(Process::From{fifo});
   ASSERT_EQ(::write(file, text.data(), 10), 10);
   int unread = 1;
   ASSERT_TRUE(until(io, [&] { return ::ioctl(file, FIONREAD, &unread) == 0 && unread == 0; }));
-  p.terminate();
+  process.terminate();
   EXPECT_EQ(::write(file, text.data() + 10, text.size() - 10), ssize_t(text.size() - 10));
   ASSERT_TRUE(until(io, [&] { return ::ioctl(file, FIONREAD, &unread) == 0 && unread == 0; }));
   ::close(file);
-  EXPECT_EQ(p.exit_code(), 0);
+  EXPECT_EQ(process.exit_code(), 0);
   ::unlink(fifo.c_str());
   ::rmdir(dir);
 }
 
 TEST(ShutdownTest, KeyedRequestIsNotRetriedIfALateConnectionWouldExceedTheDedupWindow) {
   Rig rig;
-  FakeServer s1(rig.io), s2(rig.io);
+  FakeServer s1(rig.io);
+  FakeServer s2(rig.io);
   asio::steady_timer timer(rig.io);
   int seen = 0;
-  s1.on_request = s2.on_request = [&](Peer& p, const Request_&) {
-    if (++seen > 1) return p.write(reply("200 OK", "", "x"));
+  s1.on_request = s2.on_request = [&](Peer& connection, const Request_&) {
+    if (++seen > 1) return connection.write(reply("200 OK", "", "x"));
     timer.expires_after(std::chrono::milliseconds(450));
-    timer.async_wait([peer = p.shared_from_this()](error_code) { peer->reset(); });
+    timer.async_wait([peer = connection.shared_from_this()](error_code) { peer->reset(); });
   };
   rig.config.settings.connect_timeout = 250'000;
   rig.config.settings.classes[1].dedup_window = 600'000;
