--- /dev/null
+++ b/src/upstream/connection.cpp
@@ -0,0 +1,258 @@
+// Connecting, writing and reading of one connection.
+#include "upstream/connection.hpp"
+
+#include <sys/socket.h>
+
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/error.hpp>
+#include <boost/asio/post.hpp>
+#include <cerrno>
+#include <string_view>
+#include <utility>
+
+#include "network/stream_io.hpp"
+#include "network/system_errors.hpp"
+
+namespace quota_gateway::net {
+namespace {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+
+constexpr Duration kConnectRetryInterval = 20'000;  // us
+
+}  // namespace
+
+Connection::Connection(ConnectionContext& context, std::string endpoint, tcp::endpoint address)
+    : context_(context),
+      endpoint_(std::move(endpoint)),
+      address_(std::move(address)),
+      socket_(context.io),
+      reader_(context.budget) {}
+
+void Connection::start_attempt(AttemptKey attempt, const OutgoingRequest& request, TimePoint deadline) {
+  attempt_ = attempt;
+  deadline_ = deadline;
+  writer_.prepare(request);
+  if (state_ == State::kConnecting) {
+    connect();
+  } else {
+    write_request();
+  }
+}
+
+void Connection::connect() {
+  open_socket();
+  context_.timers.schedule_after(context_.connect_timeout, [weak_self = weak_from_this()] {
+    if (const auto self = weak_self.lock()) self->on_connect_timeout();
+  });
+}
+
+void Connection::open_socket() {
+  has_local_connect_failure_ = false;
+  socket_.async_connect(
+      address_, [self = shared_from_this()](const ErrorCode& error) { self->on_connect_completed(error); });
+}
+
+void Connection::on_connect_completed(const ErrorCode& error) {
+  if (state_ != State::kConnecting) return;
+  if (is_local_connect_failure(error)) return retry_connect_later();
+  if (error) return end_attempt(Outcome::kConnectFailed);
+  // After a stall of this process, the client's disconnect may be handled later in this turn of the event
+  // loop. It has to come first, so that no request is sent for a client that has left.
+  asio::post(context_.io, [self = shared_from_this()] { self->on_connected(); });
+}
+
+// A shortage on this machine is no fault of the endpoint's, so the connect is repeated until its timeout.
+void Connection::retry_connect_later() {
+  ErrorCode ignored;
+  socket_.close(ignored);
+  has_local_connect_failure_ = true;
+  context_.timers.schedule_after(kConnectRetryInterval, [weak_self = weak_from_this()] {
+    const auto self = weak_self.lock();
+    if (self && self->state_ == State::kConnecting) self->open_socket();
+  });
+}
+
+void Connection::on_connect_timeout() {
+  if (state_ != State::kConnecting) return;
+  end_attempt(has_local_connect_failure_ ? Outcome::kNotSent : Outcome::kConnectFailed);
+}
+
+void Connection::on_connected() {
+  if (state_ != State::kConnecting) return;
+  // The endpoint may have been drained or moved during the connect, or the deadline may have passed.
+  if (!context_.observer.is_address_current(*this) || deadline_ <= context_.clock.now()) {
+    return end_attempt(Outcome::kNotSent);
+  }
+  ErrorCode ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+  socket_.non_blocking(true, ignored);
+  write_request();
+}
+
+void Connection::write_request() {
+  state_ = State::kWriting;
+  // The remaining time is taken only now, as the connect may have lasted long.
+  writer_.start(deadline_ - context_.clock.now());
+  reader_.start();
+  is_read_paused_ = false;
+  read_when_ready();
+  write_available_bytes();
+}
+
+// Writes the present part, and what is still to come of a large body after it. The socket is written to
+// directly, because the completion of an asynchronous write may be handled after that of a response or a
+// reset, and a request that may have executed would then count as not sent.
+void Connection::write_available_bytes() {
+  while (writer_.unwritten().size() > 0) {
+    ErrorCode error;
+    writer_.mark_written(write_available(socket_, writer_.unwritten(), error));
+    if (!error) continue;
+    auto resume = [self = shared_from_this(), attempt = attempt_](const ErrorCode& failure) {
+      self->on_write_completed(attempt, failure);
+    };
+    if (error == asio::error::would_block) {
+      return socket_.async_wait(tcp::socket::wait_write, std::move(resume));
+    }
+    // The kernel reports a reset once; a read after it looks like an orderly close.
+    was_reset_during_write_ = error == asio::error::connection_reset;
+    return asio::post(context_.io, [resume = std::move(resume), error] { resume(error); });
+  }
+  if (writer_.is_last_part()) {
+    on_request_written();
+  } else {
+    write_next_part();
+  }
+}
+
+void Connection::on_write_completed(AttemptKey attempt, const ErrorCode& error) {
+  // A response can arrive before this, and the connection may carry the next attempt by now.
+  if (state_ != State::kWriting || attempt_ != attempt) return;
+  if (error) return end_attempt(Outcome::kConnectFailed);  // the last byte was never written
+  write_available_bytes();
+}
+
+void Connection::write_next_part() {
+  if (writer_.is_waiting_for_body()) {
+    writer_.wait_for_body([weak_self = weak_from_this(), attempt = attempt_] {
+      const auto self = weak_self.lock();
+      if (self && self->state_ == State::kWriting && self->attempt_ == attempt) self->write_next_part();
+    });
+    return;
+  }
+  writer_.take_next_part();
+  write_available_bytes();
+}
+
+void Connection::on_request_written() {
+  state_ = State::kAwaitingResponse;
+  writer_.release_upload();
+  context_.observer.on_request_written();
+}
+
+// Waits until there is something to read before reading, so that all connections share one buffer.
+void Connection::read_when_ready() {
+  if (is_read_pending_ || is_read_paused_) return;
+  is_read_pending_ = true;
+  socket_.async_wait(tcp::socket::wait_read,
+                     [self = shared_from_this()](const ErrorCode& error) { self->on_readable(error); });
+}
+
+void Connection::on_readable(ErrorCode error) {
+  is_read_pending_ = false;
+  if (state_ == State::kClosed) return;
+  if (state_ == State::kIdle) return context_.observer.on_idle_connection_lost(*this);
+  if (is_read_paused_) return;
+  std::size_t size = 0;
+  if (!error) size = read_available(socket_, asio::buffer(context_.read_buffer), error);
+  if (error == asio::error::would_block) return read_when_ready();
+  if (error) return on_connection_lost(error);
+  on_bytes_read(size);
+  if (state_ != State::kClosed) read_when_ready();
+}
+
+void Connection::on_bytes_read(std::size_t size) {
+  last_progress_at_ = context_.clock.now();
+  const auto on_started = [this](const AttemptResult& head, std::optional<std::uint64_t> length) {
+    context_.observer.on_response_started(attempt_, head, length);
+    return state_ != State::kClosed;
+  };
+  const ResponseReader::Status status = reader_.consume({context_.read_buffer.data(), size}, on_started);
+  if (status == ResponseReader::Status::kAborted) return;
+  if (status == ResponseReader::Status::kInvalid) return end_attempt(Outcome::kReset);
+  if (status == ResponseReader::Status::kFailed) return end_attempt(reader_.take_result(), false);
+  if (reader_.has_streamed_bytes()) {
+    is_read_paused_ = true;
+    context_.observer.on_response_chunk(attempt_, reader_.take_streamed_bytes());
+    if (state_ == State::kClosed) return;
+  }
+  if (status == ResponseReader::Status::kComplete) on_response_complete();
+}
+
+void Connection::on_response_complete() {
+  // A response that arrives before the request is written leaves the connection in the middle of it.
+  const bool is_reusable = state_ == State::kAwaitingResponse && reader_.is_connection_reusable();
+  end_attempt(reader_.take_result(), is_reusable);
+}
+
+// Only an orderly close ends a response without a length; a reset has cut it short.
+void Connection::on_connection_lost(const ErrorCode& error) {
+  const bool is_orderly = error == asio::error::eof && !was_reset_during_write_;
+  if (is_orderly && reader_.complete_at_close()) return on_response_complete();
+  end_attempt(may_have_executed() ? Outcome::kReset : Outcome::kConnectFailed);
+}
+
+void Connection::end_attempt(Outcome outcome) { end_attempt(result_without_response(outcome), false); }
+
+void Connection::end_attempt(AttemptResult result, bool is_reusable) {
+  context_.observer.on_attempt_ended(shared_from_this(), std::move(result), is_reusable);
+}
+
+void Connection::request_more() {
+  is_read_paused_ = false;
+  last_progress_at_ = context_.clock.now();
+  read_when_ready();
+}
+
+TimePoint Connection::last_progress_at() const {
+  ErrorCode ignored;
+  const bool is_endpoint_waiting = is_read_paused_ || socket_.available(ignored) > 0;
+  return is_endpoint_waiting ? context_.clock.now() : last_progress_at_;
+}
+
+bool Connection::may_have_executed() const {
+  return state_ == State::kAwaitingResponse || reader_.is_streaming();
+}
+
+void Connection::become_idle() {
+  state_ = State::kIdle;
+  idle_since_ = context_.clock.now();
+}
+
+void Connection::release_attempt() {
+  writer_.release();
+  reader_.release();
+}
+
+bool Connection::is_open_and_silent() {
+  char byte = 0;
+  ssize_t received = 0;
+  do {
+    received = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  } while (received < 0 && errno == EINTR);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+}
+
+void Connection::reset_on_close() {
+  ErrorCode ignored;
+  socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+}
+
+void Connection::close() {
+  state_ = State::kClosed;
+  ErrorCode ignored;
+  socket_.close(ignored);
+}
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/upstream/connection_pool.hpp
@@ -0,0 +1,73 @@
+// The endpoints that are known, their idle connections, and the limit on all connections.
+#pragma once
+
+#include <boost/asio/ip/tcp.hpp>
+#include <cstddef>
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "discovery/discovery_client.hpp"
+#include "quota_gateway/time.hpp"
+#include "upstream/connection.hpp"
+
+namespace quota_gateway::net {
+
+// Limits on the connections to endpoints.
+struct UpstreamLimits {
+  Duration idle_timeout = 15'000'000;  // us; an endpoint closes a connection that was idle for so long
+  Duration connect_timeout = 250'000;  // us
+  std::size_t max_connections = 400;
+};
+
+// Hands out connections to endpoints and keeps those that can be used again.
+class ConnectionPool {
+ public:
+  ConnectionPool(ConnectionContext& context, const UpstreamLimits& limits);
+
+  // Applies a change of the endpoint list. Idle connections to endpoints that have left, moved or restarted
+  // are closed.
+  void update_endpoints(const DiscoveryUpdate& update);
+  // Sends nothing more to an endpoint that is administratively disabled, whatever the endpoint list says.
+  void set_disabled(const std::string& endpoint, bool disabled);
+  [[nodiscard]] bool is_known(const std::string& endpoint) const { return endpoints_.contains(endpoint); }
+  // Whether the connection's endpoint accepts requests at the address to which the connection was made.
+  [[nodiscard]] bool is_address_current(const Connection& connection);
+
+  // An idle connection, or a new one that is yet to connect. None if the endpoint accepts no requests or the
+  // limit on connections is reached.
+  std::shared_ptr<Connection> acquire(const std::string& endpoint);
+  // Takes back a connection whose attempt has ended, and closes it if it can't be used again.
+  void release(const std::shared_ptr<Connection>& connection, bool is_reusable);
+  // Closes a connection in any state.
+  void close(Connection& connection);
+
+ private:
+  struct Endpoint {
+    bool is_up = false;
+    TimePoint started_at = 0;
+    boost::asio::ip::tcp::endpoint address;
+    std::vector<std::shared_ptr<Connection>> idle_connections;  // the last used at the end
+  };
+
+  void remove_unlisted(const DiscoveryUpdate& update);
+  void remove_endpoint(const std::string& name);
+  void update_endpoint(const DiscoveredEndpoint& update);
+  Endpoint* find_available(const std::string& name);
+  std::shared_ptr<Connection> take_idle(Endpoint& endpoint);
+  bool make_room();
+  void close_idle(Endpoint& endpoint);
+  void remove_from_idle(const Connection& connection);
+  [[nodiscard]] bool is_idle_too_long(Duration idle_time) const;
+  void retire_idle_periodically();
+
+  ConnectionContext& context_;
+  const UpstreamLimits limits_;
+  std::map<std::string, Endpoint> endpoints_;
+  std::set<std::string> disabled_;
+  std::size_t open_connections_ = 0;
+};
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/upstream/response_reader.cpp
@@ -0,0 +1,141 @@
+// Parsing of responses.
+#include "upstream/response_reader.hpp"
+
+#include <algorithm>
+#include <boost/beast/http/error.hpp>
+#include <boost/beast/http/status.hpp>
+#include <utility>
+
+#include "upstream/load_report.hpp"
+
+namespace quota_gateway::net {
+namespace {
+
+namespace http = boost::beast::http;
+using boost::system::error_code;
+using Response = http::response<http::buffer_body>;
+
+constexpr std::uint32_t kMaxHeaderSize = 16 << 10;  // bytes
+
+// An overloaded endpoint did not execute the request only if it says so: a plain 503 or 504 may come from an
+// endpoint that did the work.
+Outcome classify_response(const Response& response) {
+  const http::status status = response.result();
+  if (status == http::status::ok) return Outcome::kOk;
+  const bool is_overload_status =
+      status == http::status::service_unavailable || status == http::status::gateway_timeout;
+  const bool is_proven_unexecuted = response["X-Never-Ran"] == "1";
+  return is_overload_status && is_proven_unexecuted ? Outcome::kOverloaded : Outcome::kError;
+}
+
+// The result that a response's status and headers give.
+AttemptResult result_of_head(const Response& response) {
+  const auto load = response["Endpoint-Load-Metrics"];
+  const auto billed_units = response["Billed-Units"];
+  AttemptResult result;
+  result.outcome = classify_response(response);
+  result.load = parse_load_report({load.data(), load.size()});
+  result.billed_units = parse_billed_units({billed_units.data(), billed_units.size()});
+  return result;
+}
+
+std::optional<std::uint64_t> to_std_optional(const boost::optional<std::uint64_t>& length) {
+  if (!length) return std::nullopt;
+  return *length;
+}
+
+}  // namespace
+
+ResponseReader::ResponseReader(BodyBudget& budget) : budget_(budget), buffered_(budget) {}
+
+void ResponseReader::start() {
+  body_.clear();
+  streamed_bytes_ = 0;
+  is_streaming_ = false;
+  expect_response();
+}
+
+void ResponseReader::release() {
+  parser_.reset();
+  buffered_.set(0);
+  body_ = {};
+}
+
+void ResponseReader::expect_response() {
+  parser_.emplace();
+  parser_->eager(true);
+  parser_->header_limit(kMaxHeaderSize);
+  parser_->body_limit(kMaxBodySize);
+}
+
+ResponseReader::Status ResponseReader::consume(std::string_view bytes, const StartedCallback& on_started) {
+  unparsed_.append(bytes);
+  while (!unparsed_.empty() && !parser_->is_done()) {
+    error_code error;
+    const std::size_t used = put(*parser_, unparsed_, body_, error);
+    unparsed_.erase(0, used);
+    if (error && error != http::error::need_more) return Status::kInvalid;
+    if (parser_->is_header_done()) {
+      const Status status = update_body_mode(on_started);
+      if (status != Status::kIncomplete) return status;
+    }
+    if (error == http::error::need_more) {
+      // The parser does not limit a chunk's extension, which an endpoint may send without end.
+      if (unparsed_.size() > kMaxHeaderSize) return Status::kInvalid;
+      break;
+    }
+    if (is_interim_response()) {
+      expect_response();
+    } else if (used == 0) {
+      break;
+    }
+  }
+  return parser_->is_done() ? Status::kComplete : Status::kIncomplete;
+}
+
+// A small body is buffered, so that the request can be retried if the rest of it fails to come; a larger one
+// of a successful response is streamed.
+ResponseReader::Status ResponseReader::update_body_mode(const StartedCallback& on_started) {
+  // The parser's own limit lets an announced length pass, and an endpoint may send without end.
+  const auto length = to_std_optional(parser_->content_length());
+  const std::uint64_t size = std::max<std::uint64_t>(length.value_or(0), streamed_bytes_ + body_.size());
+  if (size > kMaxBodySize) return Status::kInvalid;
+  if (is_streaming_) return Status::kIncomplete;
+  buffered_.set(body_.size());
+  const bool is_complete_and_small = parser_->is_done() && size <= kBufferedBodyLimit;
+  if (size <= budget_.buffered_body_limit() || is_complete_and_small) return Status::kIncomplete;
+  const AttemptResult head = result_of_head(parser_->get());
+  if (head.outcome != Outcome::kOk) return Status::kFailed;
+  is_streaming_ = true;
+  buffered_.set(0);
+  return on_started(head, length) ? Status::kIncomplete : Status::kAborted;
+}
+
+bool ResponseReader::is_interim_response() const {
+  return parser_->is_done() &&
+         http::to_status_class(parser_->get().result()) == http::status_class::informational;
+}
+
+bool ResponseReader::complete_at_close() {
+  if (!parser_->got_some() || !parser_->is_header_done() || !parser_->need_eof()) return false;
+  error_code error;
+  parser_->put_eof(error);
+  return !error && parser_->is_done();
+}
+
+std::string ResponseReader::take_streamed_bytes() {
+  streamed_bytes_ += body_.size();
+  return std::exchange(body_, {});
+}
+
+AttemptResult ResponseReader::take_result() {
+  AttemptResult result = result_of_head(parser_->get());
+  if (result.outcome == Outcome::kOk) result.body = std::move(body_);
+  return result;
+}
+
+bool ResponseReader::is_connection_reusable() const {
+  return parser_->get().keep_alive() && unparsed_.empty();
+}
+
+}  // namespace quota_gateway::net
