--- /dev/null
+++ b/tests/upstream/connection_pool_test.cpp
@@ -0,0 +1,156 @@
+// Reuse, retirement and limits of connections, and changes of the endpoint list.
+#include "upstream/upstream_fixture.hpp"
+
+namespace quota_gateway::net::testing {
+namespace {
+
+TEST_F(UpstreamTest, IdleConnectionIsReused) {
+  create_upstream();
+  for (int i = 1; i <= 5; ++i) {
+    EXPECT_EQ(send_and_wait(std::uint64_t(i)).outcome, Outcome::kOk);
+    clock.move(20'000);  // until a duplicate response would have arrived
+  }
+  EXPECT_EQ(endpoint.peers.size(), 1u);
+}
+
+TEST_F(UpstreamTest, DuplicateResponseIsNotReturnedForTheNextRequest) {
+  // The connection is not reused at once, or one client would be served the response to another.
+  endpoint.on_request = [&](Peer& peer, const Request_& received) {
+    if (endpoint.requests.size() == 2) {
+      endpoint.peers[0]->write(reply("200 OK", "", "duplicate"));
+      if (&peer == endpoint.peers[0].get()) return;
+    }
+    peer.write(reply("200 OK", "", std::string(received["X-Trace-Id"])));
+  };
+  create_upstream();
+  clock.stop();
+  ASSERT_EQ(send_and_wait(1).body, "t1");
+  request.trace_id = "t2";
+  EXPECT_EQ(send_and_wait(2).body, "t2");
+  EXPECT_TRUE(until(io, [&] { return endpoint.peers[0]->over; }));
+}
+
+TEST_F(UpstreamTest, ConnectionClosedByTheEndpointIsNotReused) {
+  // A request written to a connection whose close is not read yet would end as a reset that may have
+  // executed, and could not be retried at another endpoint.
+  create_upstream();
+  ASSERT_EQ(send_and_wait(1).outcome, Outcome::kOk);
+  endpoint.peers[0]->close();  // the event loop does not run between this and the send
+  EXPECT_EQ(send_and_wait(2).outcome, Outcome::kOk);
+  EXPECT_EQ(endpoint.peers.size(), 2u);
+  EXPECT_EQ(endpoint.requests.size(), 2u);
+}
+
+TEST_F(UpstreamTest, IdleConnectionIsClosedBeforeTheEndpointsIdleTimeout) {
+  create_upstream({.idle_timeout = 500'000, .max_connections = 10});
+  ASSERT_EQ(send_and_wait(1).outcome, Outcome::kOk);
+  EXPECT_TRUE(until(io, [&] { return endpoint.peers[0]->over; }));
+}
+
+TEST_F(UpstreamTest, ConnectionCloseHeaderPreventsReuse) {
+  endpoint.on_request = [](Peer& peer, const Request_&) {
+    peer.write(reply("200 OK", "Connection: close\r\n", "x"));
+  };
+  create_upstream();
+  EXPECT_EQ(send_and_wait(1).outcome, Outcome::kOk);
+  EXPECT_EQ(send_and_wait(2).outcome, Outcome::kOk);
+  EXPECT_EQ(endpoint.peers.size(), 2u);
+}
+
+TEST_F(UpstreamTest, NothingIsSentToAnEndpointDrainedDuringTheConnect) {
+  // The endpoint list changes while the connect is in progress.
+  create_upstream();
+  send(1);
+  endpoint_update.complete = false;
+  endpoint_update.endpoints[0].entry.state = EndpointState::kDraining;
+  upstream->update_endpoints(endpoint_update);
+  ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
+  EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
+  ASSERT_TRUE(until(io, [&] { return endpoint.peers.empty() || endpoint.peers[0]->over; }));
+  EXPECT_TRUE(endpoint.requests.empty());
+}
+
+TEST_F(UpstreamTest, ExpiryHeaderHasTheTimeLeftOnceConnected) {
+  create_upstream({.connect_timeout = 10'000'000, .max_connections = 10});
+  send(1);  // with 10 s until the deadline
+  clock.move(6'000'000);
+  ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
+  const std::string time_left(endpoint.requests.at(0)["X-Expires-In"]);
+  EXPECT_LE(std::stoll(time_left), 4'000'000);
+  EXPECT_GT(std::stoll(time_left), 3'000'000);
+}
+
+TEST_F(UpstreamTest, NothingIsSentIfTheDeadlinePassesDuringTheConnect) {
+  create_upstream({.connect_timeout = 20'000'000, .max_connections = 10});
+  send(1);
+  clock.move(10'000'001);
+  ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
+  EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
+  EXPECT_TRUE(endpoint.requests.empty());
+}
+
+TEST_F(UpstreamTest, NothingIsSentToAnEndpointMovedDuringTheConnect) {
+  FakeServer other(io);
+  create_upstream();
+  send(1);
+  endpoint_update.complete = false;
+  endpoint_update.endpoints[0].address = other.address();
+  upstream->update_endpoints(endpoint_update);
+  ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
+  EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
+  EXPECT_TRUE(endpoint.requests.empty());
+}
+
+TEST_F(UpstreamTest, NothingIsSentToARemovedOrUnknownEndpoint) {
+  create_upstream();
+  endpoint_update.endpoints[0].entry.state = EndpointState::kRemoved;
+  upstream->update_endpoints(endpoint_update);
+  EXPECT_EQ(send_and_wait(1).outcome, Outcome::kNotSent);
+  upstream->send({2, 0}, "unknown", request, clock.now() + 1'000'000);
+  ASSERT_TRUE(until(io, [&] { return results.size() == 2; }));
+  EXPECT_EQ(results[1].second.outcome, Outcome::kNotSent);
+}
+
+TEST_F(UpstreamTest, RestartedOrMovedEndpointGetsNewConnections) {
+  // Connections to a machine that has vanished stay open and silent.
+  FakeServer moved(io);
+  create_upstream();
+  ASSERT_EQ(send_and_wait(1).outcome, Outcome::kOk);
+  endpoint_update.endpoints[0].entry.started_at = clock.now();
+  upstream->update_endpoints(endpoint_update);
+  ASSERT_EQ(send_and_wait(2).outcome, Outcome::kOk);
+  EXPECT_EQ(endpoint.peers.size(), 2u);
+  endpoint_update.endpoints[0].address = moved.address();
+  upstream->update_endpoints(endpoint_update);
+  ASSERT_EQ(send_and_wait(3).outcome, Outcome::kOk);
+  EXPECT_EQ(moved.requests.size(), 1u);
+}
+
+TEST_F(UpstreamTest, RemovedEndpointIsForgottenAndItsConnectionsClosed) {
+  // Otherwise memory would grow with each deployment.
+  create_upstream();
+  ASSERT_EQ(send_and_wait(1).outcome, Outcome::kOk);
+  endpoint_update.complete = false;
+  endpoint_update.endpoints[0].entry.state = EndpointState::kRemoved;
+  upstream->update_endpoints(endpoint_update);
+  EXPECT_FALSE(upstream->is_known("s"));
+  EXPECT_TRUE(until(io, [&] { return endpoint.peers[0]->over; }));
+  endpoint_update.complete = true;
+  endpoint_update.endpoints = {member("a", endpoint), member("b", endpoint)};
+  upstream->update_endpoints(endpoint_update);
+  endpoint_update.endpoints = {member("b", endpoint)};
+  upstream->update_endpoints(endpoint_update);
+  EXPECT_FALSE(upstream->is_known("a"));
+  EXPECT_TRUE(upstream->is_known("b"));
+}
+
+TEST_F(UpstreamTest, NumberOfConnectionsIsLimited) {
+  endpoint.on_request = [](Peer&, const Request_&) {};
+  create_upstream({.max_connections = 2});
+  send(1);
+  send(2);
+  EXPECT_EQ(send_and_wait(3).outcome, Outcome::kNotSent);
+}
+
+}  // namespace
+}  // namespace quota_gateway::net::testing
--- /dev/null
+++ b/tests/upstream/upstream_fixture.hpp
@@ -0,0 +1,90 @@
+// A fixture that sends attempts to an endpoint on the loopback interface and records what is reported.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "support/loopback.hpp"
+#include "upstream/upstream.hpp"
+
+namespace quota_gateway::net::testing {
+
+class UpstreamTest : public ::testing::Test {
+ protected:
+  // Creates the upstream anew, with `endpoint` under the name "s" as the only one in the endpoint list.
+  void create_upstream(UpstreamLimits limits = {}) {
+    upstream.emplace(io, timers, clock, limits, budget, callbacks());
+    endpoint_update.complete = true;
+    endpoint_update.endpoints = {member("s", endpoint)};
+    upstream->update_endpoints(endpoint_update);
+  }
+
+  // Starts the first attempt of a request.
+  void send(std::uint64_t request_id) {
+    upstream->send({request_id, 0}, "s", request, clock.now() + kRequestTimeout);
+  }
+
+  // Starts the first attempt of a request and runs the event loop until its result.
+  AttemptResult send_and_wait(std::uint64_t request_id) {
+    send(request_id);
+    const auto expected_results = results.size() + 1;
+    EXPECT_TRUE(until(io, [&] { return results.size() == expected_results; }));
+    return results.empty() ? AttemptResult{} : results.back().second;
+  }
+
+  // The outcome of an attempt to which the endpoint replies with these bytes.
+  Outcome outcome_of(const std::string& response, bool close = false) {
+    endpoint.on_request = [=](Peer& peer, const Request_&) {
+      peer.write(response);
+      if (close) peer.close();
+    };
+    create_upstream();
+    return send_and_wait(1).outcome;
+  }
+
+  static constexpr Duration kRequestTimeout = 10'000'000;  // us
+
+  DiscoveryUpdate endpoint_update;
+  asio::io_context io;
+  TestClock clock;
+  Timers timers{io, clock};
+  FakeServer endpoint{io};
+  std::vector<std::pair<AttemptKey, AttemptResult>> results;
+  BodyBudget budget{1 << 20};
+  int written_attempts = 0;     // whose last byte was written
+  bool client_receives = true;  // whether the client receives the chunks of a streamed response
+  std::string streamed_body;
+  std::vector<std::optional<std::uint64_t>> started_lengths;  // of the streamed responses
+  std::optional<Upstream> upstream;
+  OutgoingRequest request{.method = "POST",
+                          .target = "/intro-request/1?q",
+                          .host = "origin.svc",
+                          .trace_id = "t1",
+                          .idempotency_key = "k1",
+                          .body = "hello",
+                          .upload = nullptr};
+
+ private:
+  Upstream::Callbacks callbacks() {
+    return {
+        .on_attempt_ended = [this](AttemptKey key,
+                                   AttemptResult result) { results.emplace_back(key, std::move(result)); },
+        .on_request_written = [this] { ++written_attempts; },
+        .on_response_started =
+            [this](AttemptKey, const AttemptResult&, std::optional<std::uint64_t> length) {
+              started_lengths.push_back(length);
+            },
+        .on_response_chunk =
+            [this](AttemptKey key, const std::string& bytes) {
+              streamed_body += bytes;
+              if (client_receives) asio::post(io, [this, key] { upstream->request_more(key); });
+            }};
+  }
+};
+
+}  // namespace quota_gateway::net::testing
