--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -42,13 +42,13 @@
 }
 
 void Connection::connect() {
-  open_socket();
+  try_connect();
   context_.timers.schedule_after(context_.connect_timeout, [weak_self = weak_from_this()] {
     if (const auto self = weak_self.lock()) self->on_connect_timeout();
   });
 }
 
-void Connection::open_socket() {
+void Connection::try_connect() {
   has_local_connect_failure_ = false;
   socket_.async_connect(
       address_, [self = shared_from_this()](const ErrorCode& error) { self->on_connect_completed(error); });
@@ -70,7 +70,7 @@
   has_local_connect_failure_ = true;
   context_.timers.schedule_after(kConnectRetryInterval, [weak_self = weak_from_this()] {
     const auto self = weak_self.lock();
-    if (self && self->state_ == State::kConnecting) self->open_socket();
+    if (self && self->state_ == State::kConnecting) self->try_connect();
   });
 }
 
@@ -93,7 +93,7 @@
 
 void Connection::write_request() {
   state_ = State::kWriting;
-  // The remaining time is taken only now, as the connect may have lasted long.
+  // The remaining time is computed only now, because the connect may have lasted long.
   writer_.start(deadline_ - context_.clock.now());
   reader_.start();
   is_read_paused_ = false;
--- a/src/upstream/connection.hpp
+++ b/src/upstream/connection.hpp
@@ -22,7 +22,7 @@
 
 class Connection;
 
-// Receives what happens on the connections.
+// Receives the events of the connections. Each call may close the connection that it comes from.
 class ConnectionObserver {
  public:
   virtual ~ConnectionObserver() = default;
@@ -33,7 +33,7 @@
   // A response that is too large to buffer has begun; its body follows in chunks.
   virtual void on_response_started(AttemptKey attempt, const AttemptResult& head,
                                    std::optional<std::uint64_t> length) = 0;
-  // Reading pauses after each chunk until request_more().
+  // A chunk of a response that has begun. Reading pauses after it until request_more().
   virtual void on_response_chunk(AttemptKey attempt, std::string bytes) = 0;
   // The observer either keeps the connection (become_idle) or closes it, and then calls release_attempt().
   virtual void on_attempt_ended(const std::shared_ptr<Connection>& connection, AttemptResult result,
@@ -90,13 +90,14 @@
   [[nodiscard]] bool is_open_and_silent();
   // Makes close() reset the connection, so that the endpoint does not execute what is still on its way.
   void reset_on_close();
+  // Closes the socket. Only the pool calls this, because it counts the open connections.
   void close();
 
  private:
   using ErrorCode = boost::system::error_code;
 
   void connect();
-  void open_socket();
+  void try_connect();
   void retry_connect_later();
   void on_connect_completed(const ErrorCode& error);
   void on_connected();
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -94,8 +94,8 @@
   return std::make_shared<Connection>(context_, endpoint, available->address);
 }
 
-// Takes the connection that was used last. One that was used a moment ago is left alone: a second response
-// to its last request would be taken for the response to the next one.
+// Takes the connection that was used last. One that was used a moment ago is skipped: a second response
+// to its last request would be matched to the next request.
 std::shared_ptr<Connection> ConnectionPool::take_idle(Endpoint& endpoint) {
   for (std::size_t i = endpoint.idle_connections.size(); i-- > 0;) {
     std::shared_ptr<Connection> connection = endpoint.idle_connections[i];
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -32,6 +32,7 @@
   void update_endpoints(const DiscoveryUpdate& update);
   // Sends nothing more to an endpoint that is administratively disabled, whatever the endpoint list says.
   void set_disabled(const std::string& endpoint, bool disabled);
+  // Whether the endpoint list contains the endpoint.
   [[nodiscard]] bool is_known(const std::string& endpoint) const { return endpoints_.contains(endpoint); }
   // Whether the connection's endpoint accepts requests at the address to which the connection was made.
   [[nodiscard]] bool is_address_current(const Connection& connection);
@@ -45,6 +46,7 @@
   void close(Connection& connection);
 
  private:
+  // An entry of the endpoint list, with its idle connections.
   struct Endpoint {
     bool is_up = false;
     TimePoint started_at = 0;
@@ -66,8 +68,8 @@
   ConnectionContext& context_;
   const UpstreamLimits limits_;
   std::map<std::string, Endpoint> endpoints_;
-  std::set<std::string> disabled_;
-  std::size_t open_connections_ = 0;
+  std::set<std::string> disabled_;    // administratively; may name endpoints that are not listed
+  std::size_t open_connections_ = 0;  // in any state but closed
 };
 
 }  // namespace quota_gateway::net
--- a/src/upstream/response_reader.hpp
+++ b/src/upstream/response_reader.hpp
@@ -63,8 +63,8 @@
   BodyBudget::Share buffered_;
   std::optional<Parser> parser_;
   std::string unparsed_;
-  std::string body_;                  // the whole body so far, or what is still to be streamed
-  std::uint64_t streamed_bytes_ = 0;  // that were taken for the client
+  std::string body_;                  // buffered, or not yet delivered to the client
+  std::uint64_t streamed_bytes_ = 0;  // delivered to the client
   bool is_streaming_ = false;
 };
 
--- a/src/upstream/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -3,6 +3,7 @@
 
 #include <boost/asio/post.hpp>
 #include <utility>
+#include <vector>
 
 namespace quota_gateway::net {
 
--- a/src/upstream/upstream.hpp
+++ b/src/upstream/upstream.hpp
@@ -23,7 +23,9 @@
 // Sends attempts to endpoints and reports how they end.
 class Upstream : private ConnectionObserver {
  public:
+  // What is reported to the owner. Callbacks may send and cancel attempts.
   struct Callbacks {
+    // An attempt has ended, other than by cancellation.
     std::function<void(AttemptKey, AttemptResult)> on_attempt_ended;
     // The last byte of an attempt is written; called once for each attempt.
     std::function<void()> on_request_written;
@@ -32,12 +34,13 @@
     // the attempt.
     std::function<void(AttemptKey, const AttemptResult&, std::optional<std::uint64_t> length)>
         on_response_started;
+    // A chunk of the body of such a response.
     std::function<void(AttemptKey, std::string bytes)> on_response_chunk;
   };
 
   Upstream(boost::asio::io_context& io, Timers& timers, const Clock& clock, UpstreamLimits limits,
            BodyBudget& budget, Callbacks callbacks);
-  // Connections refer to this object.
+  // Not movable: the connections refer to this object.
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
   Upstream(Upstream&&) = delete;
@@ -48,6 +51,7 @@
   void update_endpoints(const DiscoveryUpdate& update);
   // Sends nothing more to an endpoint that is administratively disabled, whatever the endpoint list says.
   void set_disabled(const std::string& endpoint, bool disabled);
+  // Whether the endpoint list contains the endpoint.
   [[nodiscard]] bool is_known(const std::string& endpoint) const { return pool_.is_known(endpoint); }
 
   // Starts an attempt. One result follows, never from within this call, unless the attempt is cancelled.
--- a/tests/upstream/attempt_outcome_test.cpp
+++ b/tests/upstream/attempt_outcome_test.cpp
@@ -110,7 +110,7 @@
 }
 
 TEST_F(UpstreamTest, CancelOfAPartlyWrittenAttemptReportsThatItDidNotExecute) {
-  request.body.assign(32 << 20, 'x');  // more than the socket buffers hold, and the endpoint reads nothing
+  request.body.assign(32 << 20, 'x');  // larger than the socket buffers; the endpoint reads nothing
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   tcp::socket peer(io);
   acceptor.async_accept(peer, [](error_code) {});
