--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -1,77 +1,73 @@
-// The client of discovery: holds a watch on the list of servers and tells each change.
+// The client of the discovery agent: keeps a watch on the endpoint list open and reports each update.
 #pragma once
 
 #include <array>
+#include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/beast/http/parser.hpp>
-#include <boost/beast/http/string_body.hpp>
+#include <cstdint>
 #include <functional>
-#include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
-#include <vector>
 
-#include "quota_gateway/decision_engine.hpp"
+#include "discovery/discovery_protocol.hpp"
+#include "discovery/watch_response_reader.hpp"
+#include "network/reconnect_backoff.hpp"
+#include "quota_gateway/time.hpp"
 #include "runtime/timers.hpp"
 
 namespace quota_gateway::net {
 
-struct DiscoveredEndpoint {
-  EndpointEntry entry;
-  boost::asio::ip::tcp::endpoint address;  // port 0: not told
-};
-struct DiscoveryUpdate {
-  std::int64_t revision = 0;
-  bool complete = false;  // else only what changed
-  std::vector<DiscoveredEndpoint> endpoints;
-};
-
-// Throws std::exception on a list of the wrong shape.
-DiscoveryUpdate parse_discovery_update(const nlohmann::json& list);
-boost::asio::ip::tcp::endpoint parse_endpoint(const std::string& text);
-
+// One connection to the agent at a time. A connection that fails, is silent or can't be understood is
+// replaced, and the new watch goes on after the last revision.
 class DiscoveryClient {
  public:
   using UpdateCallback = std::function<void(const DiscoveryUpdate&)>;
+
+  // `revision` is the last one that is known already. `drain_grace` is the time after which the gateway is
+  // expected to have noticed an update; it bounds the time until a lost watch is replaced.
   DiscoveryClient(boost::asio::io_context& io, Timers& timers, const Clock& clock,
-                  boost::asio::ip::tcp::endpoint agent, std::int64_t revision, Micros drain_grace,
-                  UpdateCallback told);
+                  boost::asio::ip::tcp::endpoint agent, std::int64_t revision, Duration drain_grace,
+                  UpdateCallback on_update);
+
   void start();
-  // Goes on with the watch at another address, from the last revision.
+
+  // Continues the watch at another address, after the last revision.
   void reconnect_to(const boost::asio::ip::tcp::endpoint& agent);
 
  private:
-  using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
+  using IncarnationId = ConnectionIncarnation::Id;
+
   void connect();
-  void request(int life);
-  void read(int life);
-  void took(std::size_t size);
-  void line(const std::string& text);
-  void lost(const std::string& why);
-  void watch_quiet(int life);
-  bool ends_object(const std::string& text);
-  bool is_outdated(const DiscoveryUpdate& list);
+  void send_request(IncarnationId incarnation);
+  void receive(IncarnationId incarnation);
+  void on_received(std::size_t size);
+  void on_message(const std::string& object);
+  void on_connection_lost(const std::string& reason, Duration max_backoff);
+  void check_progress(IncarnationId incarnation);
+  void restart_progress_timeout();
+  [[nodiscard]] TimePoint progress_deadline() const;
+  bool is_outdated(const DiscoveryUpdate& update);
 
   boost::asio::io_context& io_;
   Timers& timers_;
   const Clock& clock_;
   boost::asio::ip::tcp::endpoint agent_;
   std::int64_t revision_;
-  const Micros at_once_;  // in which the agent is asked again, and answers
-  bool whole_ = false;    // ask for the whole list next
-  bool turned_away_ = false;
-  bool answered_ = false;  // with the watch's first line
-  UpdateCallback told_;
+  const Duration reconnect_window_;  // a lost watch is retried, and a request is answered, within this time
+  UpdateCallback on_update_;
+
   boost::asio::ip::tcp::socket socket_;
-  std::optional<Parser> parser_;
-  std::array<char, 16384> chunk_;
-  std::string pending_, lines_, request_, object_;
-  int depth_ = 0;  // of what came of an object
-  bool quoted_ = false, escaped_ = false;
-  int life_ = 0;  // of the connection; handlers of earlier ones mean nothing
-  Micros began_ = 0, heard_ = 0;
-  Micros backoff_ = 0;
-  Micros logged_ = 0;
+  std::array<char, 16384> receive_buffer_;
+  std::string request_;  // must outlive its write
+  std::optional<WatchResponseReader> response_;
+  ConnectionIncarnation incarnation_;
+  TimePoint request_started_at_ = 0;
+  TimePoint last_progress_at_ = 0;
+  bool first_message_received_ = false;  // on this connection
+  bool needs_complete_list_ = false;     // an update may have been missed
+
+  ReconnectBackoff backoff_;
+  RateLimitedLog log_{"discovery"};
 };
 
 }  // namespace quota_gateway::net
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -1,4 +1,4 @@
-// Discovery's client, against a discovery on loopback.
+// Tests of the discovery client against a fake agent on the loopback interface.
 #include "discovery/discovery_client.hpp"
 
 #include <gtest/gtest.h>
@@ -8,217 +8,222 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-class DiscoveryTest : public ::testing::Test {
+// A client whose watch begins after revision 41.
+class DiscoveryClientTest : public ::testing::Test {
  protected:
-  DiscoveryTest() { discovery.start(); }
-  void move(Micros by) {
-    timers.schedule_after(10'000, [] {});  // so that the timers look at the clock soon
-    clock.move(by);
+  DiscoveryClientTest() { client.start(); }
+
+  void advance_clock(Duration span) {
+    timers.schedule_after(10'000, [] {});  // so that the timers read the clock soon
+    clock.move(span);
     wait(io, 50);
   }
+
   asio::io_context io;
   TestClock clock;
   Timers timers{io, clock};
-  FakeDiscovery fake{io};
-  std::vector<DiscoveryUpdate> told;
-  DiscoveryClient discovery{io,
-                            timers,
-                            clock,
-                            fake.address(),
-                            41,
-                            500'000,
-                            [this](const DiscoveryUpdate& l) { told.push_back(l); }};
+  FakeDiscovery agent{io};
+  std::vector<DiscoveryUpdate> updates;
+  DiscoveryClient client{
+      io, timers, clock, agent.address(), 41, 500'000, [this](const DiscoveryUpdate& update) {
+        updates.push_back(update);
+      }};
 };
 
-TEST_F(DiscoveryTest, WatchesFromWhatIsKnownAndTellsChanges) {
-  fake.first = list(43, false, entry("s1", "127.0.0.1:9", "draining", 1500));
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  EXPECT_EQ(fake.asked.at(0), "/catalog/members?watch=1&after=41");
-  EXPECT_EQ(told[0].revision, 43);
-  EXPECT_FALSE(told[0].complete);
-  const auto& m = told[0].endpoints.at(0);
-  EXPECT_EQ(m.entry.state, EndpointState::kDraining);
-  EXPECT_EQ(m.entry.started_at, 1'500'000);
-  EXPECT_EQ(m.entry.cell, 1);
-  EXPECT_EQ(m.address.port(), 9);
+TEST_F(DiscoveryClientTest, WatchesFromTheKnownRevisionAndReportsUpdates) {
+  agent.first = list(43, false, entry("s1", "127.0.0.1:9", "draining", 1500));
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  EXPECT_EQ(agent.asked.at(0), "/catalog/members?watch=1&after=41");
+  EXPECT_EQ(updates[0].revision, 43);
+  EXPECT_FALSE(updates[0].complete);
+  const auto& endpoint = updates[0].endpoints.at(0);
+  EXPECT_EQ(endpoint.entry.state, EndpointState::kDraining);
+  EXPECT_EQ(endpoint.entry.started_at, 1'500'000);
+  EXPECT_EQ(endpoint.entry.cell, 1);
+  EXPECT_EQ(endpoint.address.port(), 9);
 }
 
-TEST_F(DiscoveryTest, LinesMayComeInPieces) {
-  ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
+TEST_F(DiscoveryClientTest, AcceptsALineInPieces) {
+  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 1; }));
   const std::string line = list(44, true, entry("s1", "127.0.0.1:9"));
   const std::string bytes = FakeDiscovery::chunk("\n") + FakeDiscovery::chunk(line.substr(0, 20)) +
                             FakeDiscovery::chunk(line.substr(20) + line.substr(0, 9));
-  for (const char byte : bytes) fake.raw(std::string(1, byte));
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  EXPECT_TRUE(told[0].complete);
+  for (const char byte : bytes) agent.raw(std::string(1, byte));
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  EXPECT_TRUE(updates[0].complete);
 }
 
-TEST_F(DiscoveryTest, ABrokenWatchGoesOnAtTheLastRevision) {
-  fake.first = list(43, false, "");
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  fake.peers[0]->reset();
-  ASSERT_TRUE(until(io, [&] { return told.size() == 2; }));
-  EXPECT_EQ(fake.asked.at(1), "/catalog/members?watch=1&after=43");
+TEST_F(DiscoveryClientTest, ResumesABrokenWatchAtTheLastRevision) {
+  agent.first = list(43, false, "");
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  agent.peers[0]->reset();
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 2; }));
+  EXPECT_EQ(agent.asked.at(1), "/catalog/members?watch=1&after=43");
 }
 
-TEST_F(DiscoveryTest, AQuietWatchIsTakenForBroken) {
-  // Guards against a watch that stays open and says nothing, not even its heartbeat.
-  fake.mute = true;
-  ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 2; }));
-  fake.mute = false;
-  fake.first = list(45, true, "");
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
+TEST_F(DiscoveryClientTest, ReplacesAWatchWithoutAResponse) {
+  // A watch may stay open without any data, not even a heartbeat.
+  agent.mute = true;
+  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 2; }));
+  agent.mute = false;
+  agent.first = list(45, true, "");
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
 }
 
-TEST_F(DiscoveryTest, NonsenseIsNoCrashAndTheWholeListIsAskedFor) {
-  // Guards against a change lost in a line that was not understood.
-  fake.first = "{\"revision\":\"x\"}\n";
-  ASSERT_TRUE(until(io, [&] { return fake.asked.size() >= 2; }));
-  fake.first = list(50, true, entry("s1", "127.0.0.1:9"));
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  EXPECT_EQ(fake.asked.back(), "/catalog/members?watch=1");
+TEST_F(DiscoveryClientTest, RequestsTheCompleteListAfterAMalformedMessage) {
+  // An update may be lost in a line that was not understood.
+  agent.first = "{\"revision\":\"x\"}\n";
+  ASSERT_TRUE(until(io, [&] { return agent.asked.size() >= 2; }));
+  agent.first = list(50, true, entry("s1", "127.0.0.1:9"));
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  EXPECT_EQ(agent.asked.back(), "/catalog/members?watch=1");
 }
 
-TEST_F(DiscoveryTest, SilenceIsFoundWhileThereIsTimeToWatchAnew) {
-  // Guards against news that a silent watch missed: it counts as told 6 s after the silence began.
-  ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
+TEST_F(DiscoveryClientTest, DetectsSilenceWhileThereIsTimeForANewWatch) {
+  // An update that a silent watch missed has to be known 6 s after the silence began.
+  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 1; }));
   wait(io, 20);
-  move(4'500'000);
-  EXPECT_EQ(fake.asked.size(), 2u);
+  advance_clock(4'500'000);
+  EXPECT_EQ(agent.asked.size(), 2u);
 }
 
-TEST_F(DiscoveryTest, BytesThatEndNoLineAreNoHeartbeat) {
-  ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
+TEST_F(DiscoveryClientTest, DoesNotCountIncompleteLinesAsHeartbeats) {
+  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 1; }));
   wait(io, 20);
   for (int i = 0; i < 3; ++i) {
-    move(1'400'000);
-    fake.raw(FakeDiscovery::chunk(" "));
+    advance_clock(1'400'000);
+    agent.raw(FakeDiscovery::chunk(" "));
     wait(io, 20);
   }
-  EXPECT_EQ(fake.asked.size(), 1u);
-  move(400'000);
-  EXPECT_EQ(fake.asked.size(), 2u);
+  EXPECT_EQ(agent.asked.size(), 1u);
+  advance_clock(400'000);
+  EXPECT_EQ(agent.asked.size(), 2u);
 }
 
-TEST_F(DiscoveryTest, AnAgentThatTakesTheCallAndSaysNothingIsAskedAgainWithinTheGrace) {
-  fake.mute = true;
+TEST_F(DiscoveryClientTest, RetriesAnAgentThatDoesNotRespondWithinTheDrainGrace) {
+  agent.mute = true;
   wait(io, 400);
-  EXPECT_GE(fake.asked.size(), 2u);
+  EXPECT_GE(agent.asked.size(), 2u);
 }
 
-TEST_F(DiscoveryTest, AnAgentThatReturnsIsAskedWithinTheGraceHoweverLongItWasAway) {
-  fake.first = list(43, false, "");
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  const auto at = fake.address();
-  fake.stop();
-  wait(io, 1600);  // past 0.1, 0.2, 0.4 and 0.8 s of waiting, had it doubled each time
-  FakeDiscovery back(io, at);
+TEST_F(DiscoveryClientTest, ReconnectsWithinTheDrainGraceHoweverLongTheAgentWasDown) {
+  agent.first = list(43, false, "");
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  const auto address = agent.address();
+  agent.stop();
+  wait(io, 1600);  // longer than delays of 0.1, 0.2, 0.4 and 0.8 s, which an unbounded backoff would reach
+  FakeDiscovery restarted_agent(io, address);
   wait(io, 400);
-  EXPECT_GE(back.asked.size(), 1u);
+  EXPECT_GE(restarted_agent.asked.size(), 1u);
 }
 
-TEST_F(DiscoveryTest, AnAgentIsLeftItsTimeToAnswerWhereWeStoodStill) {
-  // Guards against a good call given up: the connect's news and the end of its time come in one turn.
-  timers.schedule_after(0, [] {});  // so that the timers look at the clock at once
+TEST_F(DiscoveryClientTest, LeavesTheAgentItsTimeToRespondAfterASuspension) {
+  // The connection must survive if its completion and its timeout are handled in one turn of the loop.
+  timers.schedule_after(0, [] {});  // so that the timers read the clock at once
   clock.move(3'000'000);
   wait(io, 50);
-  EXPECT_EQ(fake.peers.size(), 1u);
-  EXPECT_EQ(fake.asked.size(), 1u);
+  EXPECT_EQ(agent.peers.size(), 1u);
+  EXPECT_EQ(agent.asked.size(), 1u);
 }
 
-// What the calls after a watch that falls silent meet, before one that is answered well.
-class EndpointUpdateTest : public ::testing::TestWithParam<std::tuple<Micros, std::vector<std::string>>> {
+// An update while the watch is silent, where the requests after it meet the given failures before one
+// succeeds. The parameters are the drain grace and the raw responses to these requests.
+class EndpointUpdateTest : public ::testing::TestWithParam<std::tuple<Duration, std::vector<std::string>>> {
  protected:
-  // Moves the clock on in steps until it is `until`, or there is news; true if there is.
-  bool told_by(Micros until) {
-    timers.schedule_after(1'000, [] {});  // so that the timers look at the clock soon
-    clock.move(std::max<Micros>(0, until - clock.now() - 1'600'000));
+  // Advances the clock in steps until `deadline` or an update. Returns whether there is an update.
+  bool is_updated_by(TimePoint deadline) {
+    timers.schedule_after(1'000, [] {});  // so that the timers read the clock soon
+    clock.move(std::max<Duration>(0, deadline - clock.now() - 1'600'000));
     wait(io, 3);
-    while (told.empty() && clock.now() < until) {
+    while (updates.empty() && clock.now() < deadline) {
       timers.schedule_after(1'000, [] {});
       clock.move(20'000);
       wait(io, 3);
     }
-    return !told.empty();
+    return !updates.empty();
   }
+
   asio::io_context io;
   TestClock clock;
   Timers timers{io, clock};
-  FakeDiscovery fake{io}, other{io};
-  std::vector<DiscoveryUpdate> told;
+  FakeDiscovery agent{io};
+  FakeDiscovery new_agent{io};
+  std::vector<DiscoveryUpdate> updates;
 };
-const std::string kSilent;
-const std::string kHeadAlone = FakeDiscovery::kHead;
-const std::string kStalled = kHeadAlone + FakeDiscovery::chunk(list(45, true, "").substr(0, 20));
-const std::string kTurnedAway = reply("503 No");
-const std::string kSpoilt = kHeadAlone + FakeDiscovery::chunk("{\"revision\":\"x\"}\n");
 
-TEST_P(EndpointUpdateTest, IsKnownSixSecondsAfterTheWatchFellSilentWhateverFailsBefore) {
+const std::string kNoResponse;
+const std::string kHeaderOnly = FakeDiscovery::kHead;
+const std::string kStalledMessage = kHeaderOnly + FakeDiscovery::chunk(list(45, true, "").substr(0, 20));
+const std::string kRejected = reply("503 No");
+const std::string kMalformedMessage = kHeaderOnly + FakeDiscovery::chunk("{\"revision\":\"x\"}\n");
+
+TEST_P(EndpointUpdateTest, IsReceivedWithinSixSecondsOfSilenceDespiteFailedRequests) {
   const auto& [grace, failures] = GetParam();
-  DiscoveryClient discovery(io, timers, clock, fake.address(), 41, grace,
-                            [this](const DiscoveryUpdate& l) { told.push_back(l); });
-  discovery.start();
-  ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
+  DiscoveryClient client(io, timers, clock, agent.address(), 41, grace,
+                         [this](const DiscoveryUpdate& update) { updates.push_back(update); });
+  client.start();
+  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 1; }));
   wait(io, 20);
   clock.stop();
-  fake.first = list(45, true, "");
-  fake.instead.assign(failures.begin(), failures.end());
-  EXPECT_TRUE(told_by(clock.now() + 6'000'000)) << fake.asked.size() << " calls";
+  agent.first = list(45, true, "");
+  agent.instead.assign(failures.begin(), failures.end());
+  EXPECT_TRUE(is_updated_by(clock.now() + 6'000'000)) << agent.asked.size() << " requests";
 }
 
-TEST_P(EndpointUpdateTest, IsKnownInTimeOverAMoveAmidFailures) {
+TEST_P(EndpointUpdateTest, IsReceivedInTimeFromANewAddressDespiteFailedRequests) {
   const auto& [grace, failures] = GetParam();
-  DiscoveryClient discovery(io, timers, clock, fake.address(), 41, grace,
-                            [this](const DiscoveryUpdate& l) { told.push_back(l); });
-  discovery.start();
-  ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
+  DiscoveryClient client(io, timers, clock, agent.address(), 41, grace,
+                         [this](const DiscoveryUpdate& update) { updates.push_back(update); });
+  client.start();
+  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 1; }));
   wait(io, 20);
   clock.stop();
-  fake.mute = true;
-  other.first = list(45, true, "");
-  other.instead.assign(failures.begin(), failures.end());
-  const Micros silent = clock.now();
-  EXPECT_FALSE(told_by(silent + 4'700'000));
-  discovery.reconnect_to(other.address());
-  EXPECT_TRUE(told_by(silent + 6'000'000)) << other.asked.size() << " calls";
+  agent.mute = true;
+  new_agent.first = list(45, true, "");
+  new_agent.instead.assign(failures.begin(), failures.end());
+  const TimePoint silent_since = clock.now();
+  EXPECT_FALSE(is_updated_by(silent_since + 4'700'000));
+  client.reconnect_to(new_agent.address());
+  EXPECT_TRUE(is_updated_by(silent_since + 6'000'000)) << new_agent.asked.size() << " requests";
 }
+
 INSTANTIATE_TEST_SUITE_P(
     Failures, EndpointUpdateTest,
-    ::testing::Combine(::testing::Values(250'000, 500'000, 8'000'000),
-                       ::testing::Values(std::vector<std::string>{kSilent, kSilent},
-                                         std::vector<std::string>{kHeadAlone},
-                                         std::vector<std::string>{kStalled},
-                                         std::vector<std::string>{kTurnedAway, kTurnedAway},
-                                         std::vector<std::string>{kSpoilt, kSpoilt},
-                                         std::vector<std::string>{kStalled, kTurnedAway, kSpoilt},
-                                         std::vector<std::string>{kSilent, kSpoilt, kStalled})));
-
-TEST_F(DiscoveryTest, AnOlderRevisionAfterANewerOneChangesNothing) {
-  // Guards against an agent that lags behind the one before it and brings a drained server back into use.
-  fake.first = list(43, true, entry("s1", "127.0.0.1:9", "draining"));
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  FakeDiscovery lagging(io);
-  lagging.first = list(42, true, entry("s1", "127.0.0.1:9"));
-  discovery.reconnect_to(lagging.address());
-  ASSERT_TRUE(until(io, [&] { return lagging.asked.size() == 1; }));
-  EXPECT_EQ(lagging.asked[0], "/catalog/members?watch=1&after=43");
+    ::testing::Combine(
+        ::testing::Values(250'000, 500'000, 8'000'000),
+        ::testing::Values(std::vector<std::string>{kNoResponse, kNoResponse},
+                          std::vector<std::string>{kHeaderOnly}, std::vector<std::string>{kStalledMessage},
+                          std::vector<std::string>{kRejected, kRejected},
+                          std::vector<std::string>{kMalformedMessage, kMalformedMessage},
+                          std::vector<std::string>{kStalledMessage, kRejected, kMalformedMessage},
+                          std::vector<std::string>{kNoResponse, kMalformedMessage, kStalledMessage})));
+
+TEST_F(DiscoveryClientTest, IgnoresAnOlderRevision) {
+  // An agent that lags behind the one before it must not bring a draining endpoint back into use.
+  agent.first = list(43, true, entry("s1", "127.0.0.1:9", "draining"));
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  FakeDiscovery lagging_agent(io);
+  lagging_agent.first = list(42, true, entry("s1", "127.0.0.1:9"));
+  client.reconnect_to(lagging_agent.address());
+  ASSERT_TRUE(until(io, [&] { return lagging_agent.asked.size() == 1; }));
+  EXPECT_EQ(lagging_agent.asked[0], "/catalog/members?watch=1&after=43");
   wait(io, 20);
-  lagging.tell(list(41, false, entry("s2", "127.0.0.1:9")));
-  lagging.tell(list(44, false, entry("s3", "127.0.0.1:9")));
-  ASSERT_TRUE(until(io, [&] { return told.size() == 2; }));
-  EXPECT_EQ(told[1].revision, 44);
-  EXPECT_EQ(lagging.asked.size(), 1u);  // it is followed as it catches up
+  lagging_agent.tell(list(41, false, entry("s2", "127.0.0.1:9")));
+  lagging_agent.tell(list(44, false, entry("s3", "127.0.0.1:9")));
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 2; }));
+  EXPECT_EQ(updates[1].revision, 44);
+  EXPECT_EQ(lagging_agent.asked.size(), 1u);  // the watch continues while the agent catches up
 }
 
-TEST_F(DiscoveryTest, AListMayComeIndented) {
+TEST_F(DiscoveryClientTest, AcceptsAnIndentedObject) {
   const auto text = list(44, true, entry("s\\\"{", "127.0.0.1:9"));
-  fake.first = nlohmann::json::parse(text).dump(1) + "\n\n" + list(45, false, "");
-  ASSERT_TRUE(until(io, [&] { return told.size() == 2; }));
-  EXPECT_EQ(told[0].endpoints.at(0).entry.endpoint, "s\"{");
-  EXPECT_EQ(fake.asked.size(), 1u);
+  agent.first = nlohmann::json::parse(text).dump(1) + "\n\n" + list(45, false, "");
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 2; }));
+  EXPECT_EQ(updates[0].endpoints.at(0).entry.endpoint, "s\"{");
+  EXPECT_EQ(agent.asked.size(), 1u);
 }
 
-TEST(Members, WrongShapesThrow) {
+TEST(DiscoveryProtocolTest, RejectsListsOfTheWrongShape) {
   for (const char* text :
        {"[]", "{}", R"({"revision":1,"members":[{}]})", R"({"revision":1,"members":[1]})",
         R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"nowhere:1"}]})",
