--- a/src/counter/counter_client.cpp
+++ b/src/counter/counter_client.cpp
@@ -1,15 +1,11 @@
 #include "counter/counter_client.hpp"
 
-#include <hiredis/hiredis.h>
-
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/post.hpp>
-#include <charconv>
 #include <cmath>
-#include <cstdlib>
-#include <iostream>
 #include <string_view>
+#include <utility>
 
 #include "network/stream_io.hpp"
 
@@ -20,231 +16,231 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr Micros kTend = 100'000;
-constexpr Micros kPingAfter = 2'000'000;    // us of silence; the counter closes what idles for 10 s or less
-constexpr Micros kSilentAfter = 1'500'000;  // us without an answer to what is owed: the connection is dead
-constexpr Micros kFirstBackoff = 50'000, kMostBackoff = 500'000;
-constexpr std::size_t kMostUnanswered = 4096;  // calls on one connection
-constexpr std::size_t kMostReply = 64 << 10;   // bytes; no honest reply comes near
-constexpr Micros kLogEvery = 10'000'000;
-
-std::string format(std::initializer_list<std::string_view> words) {
-  std::vector<const char*> argv;
-  std::vector<std::size_t> lengths;
-  for (const auto& w : words) {
-    argv.push_back(w.data());
-    lengths.push_back(w.size());
-  }
-  char* raw = nullptr;
-  const auto size = redisFormatCommandArgv(&raw, int(argv.size()), argv.data(), lengths.data());
-  if (size < 0) throw std::bad_alloc();
-  std::string out(raw, std::size_t(size));
-  std::free(raw);
-  return out;
-}
-
-std::string decimal(double value) {
-  std::array<char, 400> text;
-  const auto end = std::to_chars(text.data(), text.data() + text.size(), value, std::chars_format::fixed).ptr;
-  return {text.data(), end};
-}
-
-bool parse_total(std::string_view text, double& total) {
-  const auto [stop, ec] = std::from_chars(text.data(), text.data() + text.size(), total);
-  return ec == std::errc() && stop == text.data() + text.size() && std::isfinite(total);
-}
+constexpr Duration kCheckInterval = 100'000;     // us
+constexpr Duration kPingInterval = 2'000'000;    // us; the counter closes connections idle for 10 s or less
+constexpr Duration kSilenceTimeout = 1'500'000;  // us without a reply that is due
+constexpr Duration kMinBackoff = 50'000;         // us
+constexpr Duration kMaxBackoff = 500'000;        // us
+constexpr std::size_t kMaxPendingCommands = 4096;
 
 }  // namespace
 
 CounterClient::CounterClient(asio::io_context& io, Timers& timers, const Clock& clock, tcp::endpoint address,
-                             Micros call_timeout, Micros connect_timeout, ReplyCallback answered)
+                             Duration call_timeout, Duration connect_timeout, ReplyCallback on_reply)
     : io_(io),
       timers_(timers),
       clock_(clock),
       address_(std::move(address)),
       call_timeout_(call_timeout),
-      dial_timeout_(connect_timeout),
-      answered_(std::move(answered)),
+      connect_timeout_(connect_timeout),
+      on_reply_(std::move(on_reply)),
       socket_(io) {}
 
 void CounterClient::start() {
   connect();
-  tend();
+  check_connection();
 }
 
 void CounterClient::reconnect_to(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  backoff_ = 0;
-  lost("moved");
+  backoff_.reset();
+  on_connection_lost("the counter's address has changed");
 }
 
 void CounterClient::connect() {
-  const int life = ++life_;
-  state_ = State::kConnecting;
-  heard_ = clock_.now();
-  reader_.reset(redisReaderCreate());
-  if (!reader_) throw std::bad_alloc();
-  // Danger: a reply that claims to be a list of billions would have the reader allocate it. No call has one.
-  functions_ = *reader_->fn;
-  functions_.createArray = [](const redisReadTask*, int) -> void* { return nullptr; };
-  reader_->fn = &functions_;
+  const auto incarnation = incarnation_.begin();
+  state_ = ConnectionState::kConnecting;
+  last_progress_at_ = clock_.now();
+  reply_reader_.emplace();
   socket_ = tcp::socket(io_);
-  socket_.async_connect(address_, [this, life](error_code ec) {
-    if (life != life_) return;
-    if (ec) return lost(ec.message());
-    error_code ignored;
-    socket_.set_option(tcp::no_delay(true), ignored);
-    socket_.non_blocking(true, ignored);
-    state_ = State::kUp;
-    heard_ = clock_.now();
-    write();
-    read();
+  socket_.async_connect(address_, [this, incarnation](error_code error) {
+    if (!incarnation_.is_current(incarnation)) return;
+    if (error) return on_connection_lost(error.message());
+    on_connected();
   });
-  timers_.schedule_after(dial_timeout_, [this, life] {
-    if (life == life_ && state_ == State::kConnecting) lost("never came up");
+  timers_.schedule_after(connect_timeout_, [this, incarnation] {
+    if (incarnation_.is_current(incarnation) && state_ == ConnectionState::kConnecting)
+      on_connection_lost("connect timed out");
   });
 }
 
-void CounterClient::increment(const IncrementCounter& call) {
-  Call c;
-  c.name = call.name;
-  c.made = clock_.now();
-  c.number = ++number_;
-  if (state_ == State::kDown || calls_.size() >= kMostUnanswered || !std::isfinite(call.amount)) {
-    asio::post(io_, [this, c]() mutable { finish(c, CounterOutcome::kNotAdded); });
+void CounterClient::on_connected() {
+  error_code ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+  socket_.non_blocking(true, ignored);
+  state_ = ConnectionState::kConnected;
+  last_progress_at_ = clock_.now();
+  send_queued();
+  receive();
+}
+
+void CounterClient::increment(const IncrementCounter& increment) {
+  PendingCommand command;
+  command.counter_name = increment.name;
+  command.created_at = clock_.now();
+  command.sequence = ++last_sequence_;
+  const bool can_send = state_ != ConnectionState::kDisconnected && commands_.size() < kMaxPendingCommands &&
+                        std::isfinite(increment.amount);
+  if (!can_send) {
+    asio::post(io_, [this, command] { report_if_due(command, CounterOutcome::kNotAdded); });
     return;
   }
-  const Micros life = std::clamp<Micros>(call.ttl / 1000, 1, 60'000);
-  c.command = format({"CNT.ADD", std::to_string(call.name), decimal(call.amount), std::to_string(life)});
-  timers_.schedule_at(c.made + call_timeout_, [this, number = c.number] { expire(number); });
-  calls_.push_back(std::move(c));
-  write();
-}
-
-void CounterClient::write() {
-  if (state_ != State::kUp || !writing_.empty()) return;
-  for (Call& c : calls_) {
-    if (c.command.empty()) continue;
-    writing_ += c.command;
-    c.command.clear();
-    c.end = written_ + writing_.size();
+  command.bytes = format_increment(increment);
+  timers_.schedule_at(command.created_at + call_timeout_,
+                      [this, sequence = command.sequence] { on_timeout(sequence); });
+  commands_.push_back(std::move(command));
+  send_queued();
+}
+
+// Writes all queued commands at once, unless a write is in progress.
+void CounterClient::send_queued() {
+  if (state_ != ConnectionState::kConnected || !send_buffer_.empty()) return;
+  for (PendingCommand& command : commands_) {
+    if (command.state != PendingCommand::State::kQueued) continue;
+    send_buffer_ += command.bytes;
+    command.bytes.clear();
+    command.state = PendingCommand::State::kAwaitingReply;
+    command.stream_end = stream_written_ + send_buffer_.size();
   }
-  if (writing_.empty()) return;
+  if (send_buffer_.empty()) return;
+  const auto incarnation = incarnation_.current();
   write_all(
-      socket_, writing_, [this, life = life_] { return life == life_; },
-      [this, life = life_](error_code ec, std::size_t size) {
-        if (life != life_) return;
-        written_ += size;
-        writing_.clear();
-        ec ? lost(ec.message()) : write();
+      socket_, send_buffer_, [this, incarnation] { return incarnation_.is_current(incarnation); },
+      [this, incarnation](error_code error, std::size_t size) {
+        if (!incarnation_.is_current(incarnation)) return;
+        stream_written_ += size;
+        send_buffer_.clear();
+        if (error) return on_connection_lost(error.message());
+        send_queued();
       });
 }
 
-void CounterClient::read() {
-  socket_.async_read_some(asio::buffer(chunk_), [this, life = life_](error_code ec, std::size_t size) {
-    if (life != life_) return;
-    if (ec) return lost(ec.message());
-    heard_ = clock_.now();
-    backoff_ = 0;
-    took(size);
-    if (life == life_) read();
-  });
+void CounterClient::receive() {
+  const auto incarnation = incarnation_.current();
+  socket_.async_read_some(asio::buffer(receive_buffer_),
+                          [this, incarnation](error_code error, std::size_t size) {
+                            if (!incarnation_.is_current(incarnation)) return;
+                            if (error) return on_connection_lost(error.message());
+                            last_progress_at_ = clock_.now();
+                            backoff_.reset();
+                            on_received(size);
+                            if (incarnation_.is_current(incarnation)) receive();
+                          });
 }
 
-void CounterClient::took(std::size_t size) {
-  if (redisReaderFeed(reader_.get(), chunk_.data(), size) != REDIS_OK) return lost("reader failed");
-  while (true) {
-    void* raw = nullptr;
-    if (redisReaderGetReply(reader_.get(), &raw) != REDIS_OK) return lost("malformed reply");
-    if (!raw) break;
-    const std::unique_ptr<void, void (*)(void*)> held(raw, freeReplyObject);
-    if (calls_.empty()) return lost("a reply to nothing");
-    if (!reply(raw)) return lost("a reply without a number");
+void CounterClient::on_received(std::size_t size) {
+  try {
+    reply_reader_->feed(std::string_view(receive_buffer_.data(), size));
+    while (const auto reply = reply_reader_->next()) on_command_reply(*reply);
+  } catch (const CounterProtocolError& error) {
+    on_connection_lost(error.what());
   }
-  if (reader_->len - reader_->pos > kMostReply) lost("oversized reply");
-}
-
-bool CounterClient::reply(void* raw) {
-  const auto& r = *static_cast<redisReply*>(raw);
-  Call call = calls_.front();
-  calls_.pop_front();
-  if (call.ping) return true;
-  const std::string_view text(r.str ? r.str : "", r.str ? r.len : 0);
-  double total = 0;
-  if (r.type == REDIS_REPLY_STRING && parse_total(text, total)) {
-    finish(call, CounterOutcome::kOk, total);
-    return true;
+}
+
+// Matches a reply to the oldest command. Throws CounterProtocolError if the connection is of no further use.
+void CounterClient::on_command_reply(const CommandReply& reply) {
+  if (commands_.empty()) throw CounterProtocolError("reply without a command");
+  const PendingCommand command = std::move(commands_.front());
+  commands_.pop_front();
+  if (command.kind == PendingCommand::Kind::kPing) return;
+  switch (reply.kind) {
+    case CommandReply::Kind::kTotal:
+      return report_if_due(command, CounterOutcome::kOk, reply.total);
+    case CommandReply::Kind::kRejected:
+      return report_if_due(command, CounterOutcome::kNotAdded);
+    case CommandReply::Kind::kInvalid:
+      report_if_due(command, CounterOutcome::kUnknown);
+      throw CounterProtocolError("reply without a total");
   }
-  const bool turned_away =
-      r.type == REDIS_REPLY_ERROR && (text.substr(0, 4) == "BUSY" || text.substr(0, 3) == "ERR");
-  finish(call, turned_away ? CounterOutcome::kNotAdded : CounterOutcome::kUnknown);
-  return turned_away;
 }
 
-// Our time-out. A call that never left is taken out of the line and known not to be added.
-void CounterClient::expire(std::uint64_t number) {
-  const auto it = std::lower_bound(calls_.begin(), calls_.end(), number,
-                                   [](const Call& c, std::uint64_t n) { return c.number < n; });
-  if (it == calls_.end() || it->number != number || it->answered) return;
-  if (it->command.empty()) return finish(*it, CounterOutcome::kUnknown);
-  Call call = std::move(*it);
-  calls_.erase(it);
-  finish(call, CounterOutcome::kNotAdded);
+// A command that is still queued is dropped, so that it is known not to be added. One that was written stays,
+// because its reply must not be taken for that of the next command.
+void CounterClient::on_timeout(std::uint64_t sequence) {
+  const auto command = std::lower_bound(
+      commands_.begin(), commands_.end(), sequence,
+      [](const PendingCommand& candidate, std::uint64_t value) { return candidate.sequence < value; });
+  if (command == commands_.end() || command->sequence != sequence) return;
+  const PendingCommand timed_out = *command;
+  if (timed_out.state == PendingCommand::State::kQueued) {
+    commands_.erase(command);
+    report_if_due(timed_out, CounterOutcome::kNotAdded);
+  } else {
+    command->state = PendingCommand::State::kTimedOut;
+    report_if_due(timed_out, CounterOutcome::kUnknown);
+  }
 }
 
-void CounterClient::finish(Call& call, CounterOutcome outcome, double total) {
-  if (call.answered || call.ping) return;
-  call.answered = true;
-  answered_({call.name, total, outcome, clock_.now() - call.made});
+// Reports the outcome of an increment, unless its timeout was reported before.
+void CounterClient::report_if_due(const PendingCommand& command, CounterOutcome outcome, double total) {
+  if (command.kind == PendingCommand::Kind::kPing) return;
+  if (command.state == PendingCommand::State::kTimedOut) return;
+  on_reply_({.name = command.counter_name,
+             .total = total,
+             .outcome = outcome,
+             .duration = clock_.now() - command.created_at});
 }
 
-void CounterClient::lost(const std::string& why) {
+void CounterClient::on_connection_lost(const std::string& reason) {
   error_code ignored;
   socket_.close(ignored);
-  const int life = ++life_;
-  state_ = State::kDown;
-  std::deque<Call> calls;
-  calls.swap(calls_);
-  // What a write under way got out is not known; it may have been added.
-  const std::size_t sent = written_ + writing_.size();
-  writing_.clear();
-  written_ = 0;
-  const Micros now = clock_.now();
-  if (now - logged_ > kLogEvery) {
-    logged_ = now;
-    std::cerr << "counter: " << why << '\n';
-  }
-  // Spread, so that gateways that lost it together do not return together.
-  const Micros wait = backoff_ * 3 / 4 + (backoff_ > 0 ? now % (backoff_ / 2) : 0);
-  backoff_ = std::clamp(2 * backoff_, kFirstBackoff, kMostBackoff);
-  timers_.schedule_after(wait, [this, life] {
-    if (life == life_) connect();
+  const auto incarnation = incarnation_.begin();
+  state_ = ConnectionState::kDisconnected;
+  std::deque<PendingCommand> lost_commands;
+  lost_commands.swap(commands_);
+  // How much of a write in progress was sent is not known, so all of it counts as sent.
+  const std::size_t stream_sent = stream_written_ + send_buffer_.size();
+  send_buffer_.clear();
+  stream_written_ = 0;
+
+  const TimePoint now = clock_.now();
+  log_.write(now, "connection lost: " + reason);
+  timers_.schedule_after(next_reconnect_delay(now), [this, incarnation] {
+    if (incarnation_.is_current(incarnation)) connect();
   });
-  for (Call& c : calls) {
-    const bool left = c.command.empty() && c.end <= sent;
-    finish(c, left ? CounterOutcome::kUnknown : CounterOutcome::kNotAdded);
+  fail_commands(lost_commands, stream_sent);
+}
+
+// Spreads the attempts of gateways that lost the counter at the same time.
+Duration CounterClient::next_reconnect_delay(TimePoint now) {
+  const Duration delay = backoff_.next_delay({.min = kMinBackoff, .max = kMaxBackoff});
+  if (delay == 0) return 0;
+  return delay * 3 / 4 + now % (delay / 2);
+}
+
+// Reports the commands of a lost connection. One that was not sent whole is known not to be added.
+void CounterClient::fail_commands(const std::deque<PendingCommand>& commands, std::size_t stream_sent) {
+  for (const PendingCommand& command : commands) {
+    const bool may_be_added =
+        command.state != PendingCommand::State::kQueued && command.stream_end <= stream_sent;
+    report_if_due(command, may_be_added ? CounterOutcome::kUnknown : CounterOutcome::kNotAdded);
   }
 }
 
-// Keeps an idle connection open and finds one that has gone silent.
-void CounterClient::tend() {
-  const Micros now = clock_.now();
-  if (state_ == State::kUp) {
-    if (!calls_.empty() && now - std::max(calls_.front().made, heard_) > kSilentAfter) {
-      backoff_ = kMostBackoff;  // danger: the counter may still hold what we close; it bears 32
-      lost("silent");
-    } else if (calls_.empty() && now - heard_ > kPingAfter) {
-      Call ping;
-      ping.ping = true;
-      ping.made = now;
-      ping.number = ++number_;
-      ping.command = format({"PING"});
-      calls_.push_back(std::move(ping));
-      write();
+// Runs periodically. Keeps an idle connection open and replaces one that has become silent.
+void CounterClient::check_connection() {
+  const TimePoint now = clock_.now();
+  if (state_ == ConnectionState::kConnected) {
+    if (commands_.empty()) {
+      if (now - last_progress_at_ > kPingInterval) send_ping(now);
+    } else if (now - std::max(commands_.front().created_at, last_progress_at_) > kSilenceTimeout) {
+      // The counter may keep the closed connection for a while and accepts only 32 of them.
+      backoff_.set_delay(kMaxBackoff);
+      on_connection_lost("silent");
     }
   }
-  timers_.schedule_after(kTend, [this] { tend(); });
+  timers_.schedule_after(kCheckInterval, [this] { check_connection(); });
+}
+
+void CounterClient::send_ping(TimePoint now) {
+  PendingCommand ping;
+  ping.kind = PendingCommand::Kind::kPing;
+  ping.created_at = now;
+  ping.sequence = ++last_sequence_;
+  ping.bytes = format_ping();
+  commands_.push_back(std::move(ping));
+  send_queued();
 }
 
 }  // namespace quota_gateway::net
