--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,3 +1,4 @@
+// Listening, accepting and the limits on admin sessions.
 #include "admin/admin_server.hpp"
 
 #include <cstddef>
--- a/src/admin/admin_session.cpp
+++ b/src/admin/admin_session.cpp
@@ -1,3 +1,4 @@
+// The admin calls: their paths, methods and responses.
 #include "admin/admin_session.hpp"
 
 #include <cstdint>
--- a/src/counter/counter_client.cpp
+++ b/src/counter/counter_client.cpp
@@ -1,3 +1,4 @@
+// Connecting to the counter, the queue of pending commands, and the supervision of the connection.
 #include "counter/counter_client.hpp"
 
 #include <algorithm>
--- a/src/counter/counter_protocol.cpp
+++ b/src/counter/counter_protocol.cpp
@@ -1,3 +1,4 @@
+// The formatting of commands and the decoding of replies, both with hiredis.
 #include "counter/counter_protocol.hpp"
 
 #include <hiredis/hiredis.h>
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,3 +1,4 @@
+// Connecting to the discovery agent, the supervision of the watch, and its replacement.
 #include "discovery/discovery_client.hpp"
 
 #include <algorithm>
--- a/src/discovery/discovery_protocol.cpp
+++ b/src/discovery/discovery_protocol.cpp
@@ -1,3 +1,4 @@
+// The parsing of addresses and endpoint lists, and the watch request.
 #include "discovery/discovery_protocol.hpp"
 
 #include <boost/asio/ip/address.hpp>
--- a/src/discovery/watch_response_reader.cpp
+++ b/src/discovery/watch_response_reader.cpp
@@ -1,3 +1,4 @@
+// The framing of a watch response: HTTP, lines and JSON objects.
 #include "discovery/watch_response_reader.hpp"
 
 #include <algorithm>
--- a/src/network/reconnect_backoff.cpp
+++ b/src/network/reconnect_backoff.cpp
@@ -1,3 +1,4 @@
+// The growth of the reconnect delay and the rate limit of the log.
 #include "network/reconnect_backoff.hpp"
 
 #include <algorithm>
