--- a/src/runtime/coordinator.cpp
+++ b/src/runtime/coordinator.cpp
@@ -89,17 +89,17 @@
 
 Upstream::Callbacks Coordinator::upstream_callbacks() {
   using ResponseLength = std::optional<std::uint64_t>;
-  return {
-      .on_attempt_ended = [this](
-                              AttemptKey key,
-                              AttemptResult result) { forwarder_.on_attempt_ended(key, std::move(result)); },
-      .on_request_written = [this] { metrics_.count_attempt(); },
-      .on_response_started =
-          [this](AttemptKey key, const AttemptResult& head, ResponseLength length) {
-            forwarder_.on_response_started(key, head, length);
-          },
-      .on_response_chunk =
-          [this](AttemptKey key, std::string bytes) { forwarder_.on_response_chunk(key, std::move(bytes)); }};
+  return {.on_attempt_ended =
+              [this](AttemptKey key, AttemptResult result) {
+                forwarder_.on_attempt_ended(key, std::move(result));
+              },
+          .on_request_written = [this] { metrics_.count_attempt(); },
+          .on_response_started =
+              [this](AttemptKey key, const AttemptResult& head, ResponseLength length) {
+                forwarder_.on_response_started(key, head, length);
+              },
+          .on_response_chunk =
+              [this](AttemptKey key, const std::string& bytes) { forwarder_.on_response_chunk(key, bytes); }};
 }
 
 ClientListener::Callbacks Coordinator::client_callbacks() {
--- a/src/runtime/request_forwarder.cpp
+++ b/src/runtime/request_forwarder.cpp
@@ -24,12 +24,6 @@
 constexpr int kStatusServiceUnavailable = 503;
 constexpr int kStatusGatewayTimeout = 504;
 
-AttemptResult result_without_response(Outcome outcome) {
-  AttemptResult result;
-  result.outcome = outcome;
-  return result;
-}
-
 }  // namespace
 
 RequestForwarder::RequestForwarder(const Parts& parts, const Settings& settings)
@@ -175,10 +169,9 @@
   client_listener_.start_response(request->client, length);
 }
 
-void RequestForwarder::on_response_chunk(AttemptKey key, std::string bytes) {
+void RequestForwarder::on_response_chunk(AttemptKey key, const std::string& bytes) {
   const RequestRecord* request = requests_.find(key.request);
-  if (request != nullptr && request->is_streamed())
-    client_listener_.write_chunk(request->client, std::move(bytes));
+  if (request != nullptr && request->is_streamed()) client_listener_.write_chunk(request->client, bytes);
 }
 
 void RequestForwarder::on_attempt_ended(AttemptKey key, AttemptResult result) {
@@ -212,7 +205,7 @@
     Response response;
     response.status = kStatusOk;
     response.body = std::move(result.body);
-    respond(request, std::move(response));
+    respond(request, response);
     return;
   }
   count_response(request, is_complete ? kStatusOk : kStatusBadGateway);
@@ -278,7 +271,7 @@
   Response response;
   response.status = request->attempts.empty() ? kStatusTooManyRequests : kStatusServiceUnavailable;
   response.retry_after = action.retry_after;
-  respond(*request, std::move(response));
+  respond(*request, response);
   requests_.retire_if_finished(*request);
 }
 
@@ -290,16 +283,16 @@
 void RequestForwarder::fail(RequestRecord& request) {
   Response response;
   response.status = request.last_attempt_timed_out ? kStatusGatewayTimeout : kStatusBadGateway;
-  respond(request, std::move(response));
+  respond(request, response);
   requests_.retire_if_finished(request);
 }
 
 // Sends the final response, unless the request already has one.
-void RequestForwarder::respond(RequestRecord& request, Response response) {
+void RequestForwarder::respond(RequestRecord& request, const Response& response) {
   if (request.is_answered()) return;
   request.response = ResponseState::kClosed;
   count_response(request, response.status);
-  client_listener_.respond(request.client, std::move(response));
+  client_listener_.respond(request.client, response);
 }
 
 void RequestForwarder::count_response(const RequestRecord& request, int status) {
--- a/src/runtime/request_forwarder.hpp
+++ b/src/runtime/request_forwarder.hpp
@@ -44,7 +44,7 @@
 
   // Events of attempts.
   void on_response_started(AttemptKey key, const AttemptResult& head, std::optional<std::uint64_t> length);
-  void on_response_chunk(AttemptKey key, std::string bytes);
+  void on_response_chunk(AttemptKey key, const std::string& bytes);
   void on_attempt_ended(AttemptKey key, AttemptResult result);
 
   // Actions of the decision engine. Those on an unknown request have no effect.
@@ -71,7 +71,7 @@
   void cancel_unwritten_attempts(const RequestRecord& request, Outcome outcome);
   void cancel_response(const RequestRecord& request);
   void end_response(RequestRecord& request, AttemptResult& result);
-  void respond(RequestRecord& request, Response response);
+  void respond(RequestRecord& request, const Response& response);
   void fail(RequestRecord& request);
   void count_response(const RequestRecord& request, int status);
 
