--- a/include/quota_gateway/time.hpp
+++ b/include/quota_gateway/time.hpp
@@ -11,6 +11,4 @@
 // A span: microseconds.
 using Duration = std::int64_t;
 
-using Micros = std::int64_t;  // TEMPORARY: being replaced by TimePoint and Duration
-
 }  // namespace quota_gateway
--- a/tests/adapter/codec_test.cpp
+++ b/tests/adapter/codec_test.cpp
@@ -1,7 +1,7 @@
-#include "adapter/simulator_host.hpp"
-
 #include <gtest/gtest.h>
 
+#include "adapter/simulator_host.hpp"
+
 namespace quota_gateway::wire {
 namespace {
 
@@ -14,7 +14,8 @@
   SimulatorHost host;
   EXPECT_ANY_THROW(host.process_line("[]"));
   EXPECT_ANY_THROW(host.process_line("{"));
-  EXPECT_ANY_THROW(host.process_line(R"({"ClockUs":1,"parts":[{"Who":"gateway-0","input":[{"what":"Knock"}]}]})"));
+  EXPECT_ANY_THROW(
+      host.process_line(R"({"ClockUs":1,"parts":[{"Who":"gateway-0","input":[{"what":"Knock"}]}]})"));
   EXPECT_ANY_THROW(host.process_line(
       R"({"ClockUs":1,"parts":[{"Who":"g","input":[{"what":"Response","Id":"t/a","Go":0,"Disposition":"?"}]}]})"));
 }
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -14,7 +14,7 @@
  protected:
   AdminServerTest() {
     rig.config.admin_address = {asio::ip::address_v4::loopback(), 0};
-    rig.know(member("s1", s1));
+    rig.add_endpoint(discovered_endpoint("s1", s1));
   }
 
   Client connect() { return {rig.io, rig.coordinator->admin_address()}; }
@@ -31,7 +31,7 @@
   nlohmann::json metrics() { return nlohmann::json::parse(call("GET", "/-/metrics").body()); }
 
   Rig rig;
-  FakeServer s1{rig.io};
+  FakeEndpoint s1{rig.io};
 };
 
 TEST_F(AdminServerTest, IsReadyUntilItDrains) {
@@ -64,13 +64,13 @@
     stalled.back().send("GET /-/rea");
   }
   EXPECT_EQ(call("GET", "/-/ready").result_int(), 200u);
-  EXPECT_TRUE(stalled.front().ended());  // the oldest session made room
-  EXPECT_TRUE(stalled.back().ended());   // by the session timeout
+  EXPECT_TRUE(stalled.front().closed_by_peer());  // the oldest session made room
+  EXPECT_TRUE(stalled.back().closed_by_peer());   // by the session timeout
 }
 
 TEST_F(AdminServerTest, MetricsCountEachResponseAndEachAttemptOnce) {
   std::shared_ptr<Peer> pending;
-  s1.on_request = [&](Peer& peer, const Request_& request) {
+  s1.on_request = [&](Peer& peer, const HttpRequest& request) {
     if (request["X-Trace-Id"] == "pending") {
       pending = peer.shared_from_this();
     } else {
@@ -80,12 +80,12 @@
   rig.start();
   Client client = rig.client();
   Client waiting_client = rig.client();
-  for (const std::string& request : {get("a"), get("b"), post("c")}) {
+  for (const std::string& request : {get_request("a"), get_request("b"), post_request("c")}) {
     client.send(request);
     ASSERT_TRUE(client.receive());
   }
-  waiting_client.send(get("pending"));
-  ASSERT_TRUE(rig.until([&] { return pending != nullptr; }));
+  waiting_client.send(get_request("pending"));
+  ASSERT_TRUE(rig.run_until([&] { return pending != nullptr; }));
   const auto values = metrics();
   EXPECT_EQ(values["passed"]["profile-read"], 2);
   EXPECT_EQ(values["passed"]["intro-request"], 0);
@@ -101,21 +101,23 @@
 }
 
 TEST_F(AdminServerTest, ADisabledEndpointGetsNoRequestsUntilItIsEnabledWhateverDiscoveryReports) {
-  FakeServer s2(rig.io);
-  rig.know(member("s2", s2));
+  FakeEndpoint s2(rig.io);
+  rig.add_endpoint(discovered_endpoint("s2", s2));
   rig.start();
   EXPECT_EQ(call("POST", "/-/booking-servers/nobody/disable").result_int(), 404u);
   EXPECT_EQ(call("POST", "/-/booking-servers/s1/disable").result_int(), 200u);
   EXPECT_EQ(call("POST", "/-/booking-servers/s1/disable").result_int(), 200u);
   EXPECT_EQ(metrics()["skipped_booking_servers"], 1);
-  ASSERT_TRUE(rig.until([&] { return rig.discovery.peers.size() == 1 && !rig.discovery.asked.empty(); }));
-  rig.discovery.tell(
-      list(42, true,
-           entry("s1", s1.text(), "up", 5) + "," + entry("s2", s2.text()) + "," + entry("s3", s2.text())));
-  ASSERT_TRUE(rig.until([&] { return metrics()["known_booking_servers"] == 3; }));
+  ASSERT_TRUE(rig.run_until(
+      [&] { return rig.discovery.peers.size() == 1 && !rig.discovery.requested_targets.empty(); }));
+  rig.discovery.send_update(update_json(42, true,
+                                        endpoint_json("s1", s1.address_text(), "up", 5) + "," +
+                                            endpoint_json("s2", s2.address_text()) + "," +
+                                            endpoint_json("s3", s2.address_text())));
+  ASSERT_TRUE(rig.run_until([&] { return metrics()["known_booking_servers"] == 3; }));
   Client client = rig.client();
   const auto serve = [&](const std::string& id) {
-    client.send(get(id));
+    client.send(get_request(id));
     ASSERT_TRUE(client.receive());
   };
   for (int i = 0; i < 30; ++i) serve("a" + std::to_string(i));
@@ -148,7 +150,7 @@
   std::ofstream(file) << "[\"s1";
   EXPECT_EQ(metrics()["skipped_booking_servers"], 1);
   other_gateway.set("s1", false, [](bool stored) { EXPECT_TRUE(stored); });
-  ASSERT_TRUE(rig.until([&] { return metrics()["skipped_booking_servers"] == 0; }));
+  ASSERT_TRUE(rig.run_until([&] { return metrics()["skipped_booking_servers"] == 0; }));
   ::unlink(file.c_str());
   ::rmdir(name);
 }
--- a/tests/client/body_transfer_test.cpp
+++ b/tests/client/body_transfer_test.cpp
@@ -10,7 +10,7 @@
 class BodyTest : public ::testing::Test {
  protected:
   BodyTest() {
-    rig.know(member("s1", s1));
+    rig.add_endpoint(discovered_endpoint("s1", s1));
     // The endpoints here answer within a millisecond, so a slow attempt would be cancelled after ten.
     rig.config.settings.allow_cancel = false;
   }
@@ -40,12 +40,12 @@
                       [buffer, self = connection.shared_from_this()](error_code, std::size_t) {});
   }
   Rig rig;
-  FakeServer s1{rig.io};
+  FakeEndpoint s1{rig.io};
 };
 
 TEST_F(BodyTest, LargeResponseIsForwardedUnchangedWithLengthAndInChunks) {
   const std::string body = text(900'000);
-  s1.on_request = [&](Peer& connection, const Request_& r) {
+  s1.on_request = [&](Peer& connection, const HttpRequest& r) {
     if (r["X-Trace-Id"] == "chunked")
       write_all(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                                 FakeDiscovery::chunk(body.substr(0, 300'000)) +
@@ -56,28 +56,28 @@
   rig.start();
   Client client = rig.client();
   for (const std::string id : {"sized", "chunked", "again"}) {
-    client.send(get(id));
+    client.send(get_request(id));
     const auto response = client.receive();
     ASSERT_TRUE(response) << id;
     EXPECT_EQ(response->result_int(), 200u);
     EXPECT_TRUE(response->body() == body) << id;
     EXPECT_EQ(response->chunked(), id == "chunked");
-    wait(rig.io, 25);  // a connection is reused only once no second response can follow
+    run_for(rig.io, 25);  // a connection is reused only once no second response can follow
   }
   EXPECT_EQ(s1.requests.size(), 3u);
   EXPECT_EQ(s1.peers.size(), 1u);
 }
 
 TEST_F(BodyTest, TruncatedLargeResponseIsAbortedAndNotRetried) {
-  FakeServer s2(rig.io);
-  s1.on_request = s2.on_request = [&](Peer& connection, const Request_&) {
+  FakeEndpoint s2(rig.io);
+  s1.on_request = s2.on_request = [&](Peer& connection, const HttpRequest&) {
     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + text(100'000));
     connection.close();
   };
-  rig.know(member("s2", s2));
+  rig.add_endpoint(discovered_endpoint("s2", s2));
   rig.start();
   Client client = rig.client();
-  client.send(get("a"));
+  client.send(get_request("a"));
   EXPECT_FALSE(client.receive());
   EXPECT_EQ(s1.requests.size() + s2.requests.size(), 1u);
 }
@@ -87,7 +87,7 @@
   // reset.
   const std::string body = text(100'000);
   std::shared_ptr<Peer> peer;
-  s1.on_request = [&](Peer& connection, const Request_&) {
+  s1.on_request = [&](Peer& connection, const HttpRequest&) {
     peer = connection.shared_from_this();
     write_all(connection, "HTTP/1.1 200 OK\r\n\r\n" + body);
   };
@@ -96,10 +96,10 @@
     for (const bool orderly : {true, false}) {
       SCOPED_TRACE(version + (orderly ? " closed" : " reset"));
       Client client = rig.client();
-      std::string request = get("a");
+      std::string request = get_request("a");
       request.replace(request.find("HTTP/1.1") + 5, 3, version);
       client.send(request);
-      ASSERT_TRUE(rig.until([&] { return client.socket.available() > body.size(); }));
+      ASSERT_TRUE(rig.run_until([&] { return client.socket.available() > body.size(); }));
       orderly ? peer->close() : peer->reset();
       const auto response = client.receive();
       ASSERT_EQ(response.has_value(), orderly);
@@ -116,24 +116,24 @@
   const auto [version, length] = GetParam();
   const std::string body = text(100'000);
   std::shared_ptr<Peer> peer;
-  s1.on_request = [&, length = length](Peer& connection, const Request_&) {
+  s1.on_request = [&, length = length](Peer& connection, const HttpRequest&) {
     peer = connection.shared_from_this();
     write_all(connection, std::string("HTTP/1.1 200 OK\r\n") + length + "\r\n" + body);
   };
   rig.start();
   rig.clock.stop();
   Client client = rig.client();
-  std::string request = get("a");  // with a timeout of 4 s
+  std::string request = get_request("a");  // with a timeout of 4 s
   request.replace(request.find("HTTP/1.1") + 5, 3, version);
   client.send(request);
-  ASSERT_TRUE(rig.until([&] { return client.socket.available() > body.size(); }));
-  wait(rig.io, 1);
-  rig.clock.move(3'900'000);
-  wait(rig.io, 250);  // lets the timers run
-  EXPECT_FALSE(peer->over);
-  rig.clock.move(590'000);
+  ASSERT_TRUE(rig.run_until([&] { return client.socket.available() > body.size(); }));
+  run_for(rig.io, 1);
+  rig.clock.advance(3'900'000);
+  run_for(rig.io, 250);  // lets the timers run
+  EXPECT_FALSE(peer->closed);
+  rig.clock.advance(590'000);
   EXPECT_FALSE(client.receive());
-  EXPECT_TRUE(rig.until([&] { return peer->over; }));
+  EXPECT_TRUE(rig.run_until([&] { return peer->closed; }));
 }
 INSTANTIATE_TEST_SUITE_P(Answers, SilentResponseTest,
                          ::testing::Combine(::testing::Values("1.1", "1.0"),
@@ -142,21 +142,21 @@
 TEST_F(BodyTest, ResponseInProgressIsNotAbortedAfterTheClientTimeout) {
   const std::string body = text(100'000);
   std::shared_ptr<Peer> peer;
-  s1.on_request = [&](Peer& connection, const Request_&) {
+  s1.on_request = [&](Peer& connection, const HttpRequest&) {
     peer = connection.shared_from_this();
     write_all(connection, "HTTP/1.1 200 OK\r\nContent-Length: 100030\r\n\r\n" + body);
   };
   rig.start();
   rig.clock.stop();
   Client client = rig.client();
-  client.send(get("a"));
-  ASSERT_TRUE(rig.until([&] { return client.socket.available() > body.size(); }));
+  client.send(get_request("a"));
+  ASSERT_TRUE(rig.run_until([&] { return client.socket.available() > body.size(); }));
   for (int i = 0; i < 30; ++i) {
-    rig.clock.move(300'000);  // 9 s in all; the client timeout is 4 s
+    rig.clock.advance(300'000);  // 9 s in all; the client timeout is 4 s
     const auto had = client.socket.available();
     peer->write("x");
-    ASSERT_TRUE(rig.until([&] { return client.socket.available() > had || peer->over; }));
-    ASSERT_FALSE(peer->over) << i;
+    ASSERT_TRUE(rig.run_until([&] { return client.socket.available() > had || peer->closed; }));
+    ASSERT_FALSE(peer->closed) << i;
   }
   const auto response = client.receive();
   ASSERT_TRUE(response);
@@ -164,19 +164,19 @@
 }
 
 TEST_F(BodyTest, ClientThatDisconnectsDuringAResponseEndsItsAttempt) {
-  s1.on_request = [&](Peer& connection, const Request_&) {
+  s1.on_request = [&](Peer& connection, const HttpRequest&) {
     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + text(100'000));
   };
   rig.start();
   {
     Client client = rig.client();
-    client.send(get("a"));
+    client.send(get_request("a"));
     std::array<char, 1000> some;
     bool got = false;
     client.socket.async_read_some(asio::buffer(some), [&](error_code ec, std::size_t) { got = !ec; });
-    ASSERT_TRUE(rig.until([&] { return got; }));
+    ASSERT_TRUE(rig.run_until([&] { return got; }));
   }
-  EXPECT_TRUE(rig.until([&] { return s1.peers.at(0)->over; }));
+  EXPECT_TRUE(rig.run_until([&] { return s1.peers.at(0)->closed; }));
 }
 
 TEST_F(BodyTest, LargeRequestIsForwardedUnchangedWithLengthAndInChunksWithTrailers) {
@@ -187,7 +187,8 @@
   EXPECT_EQ(status(client), 200);
   send_all(client, upload("chunked", "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n") +
                        FakeDiscovery::chunk(body.substr(0, 700'000)) +
-                       FakeDiscovery::chunk(body.substr(700'000)) + "0\r\nX-T: t\r\n\r\n" + get("pipelined"));
+                       FakeDiscovery::chunk(body.substr(700'000)) + "0\r\nX-T: t\r\n\r\n" +
+                       get_request("pipelined"));
   EXPECT_EQ(status(client), 200);
   EXPECT_EQ(status(client), 200);
   ASSERT_EQ(s1.requests.size(), 3u);
@@ -224,7 +225,7 @@
   rig.start();
   Client client = rig.client();
   Client other = rig.client();
-  other.send(get("a"));
+  other.send(get_request("a"));
   EXPECT_EQ(status(other), 200);
   client.send(upload("b", "Expect: 100-continue\r\n" + length(200'000)));
   const auto response = client.receive();
@@ -234,16 +235,16 @@
 }
 
 TEST_F(BodyTest, LargeRequestIsNotRetriedAfterItsEndpointDisconnects) {
-  FakeServer s2(rig.io);
-  rig.know(member("s2", s2));
+  FakeEndpoint s2(rig.io);
+  rig.add_endpoint(discovered_endpoint("s2", s2));
   rig.start();
   Client client = rig.client();
   client.send(upload("a", length(900'000)) + text(100'000));
-  ASSERT_TRUE(rig.until([&] {
+  ASSERT_TRUE(rig.run_until([&] {
     return (s1.peers.size() == 1 && !s1.peers[0]->pending.empty()) ||
            (s2.peers.size() == 1 && !s2.peers[0]->pending.empty());
   }));
-  for (FakeServer* endpoint : {&s1, &s2})
+  for (FakeEndpoint* endpoint : {&s1, &s2})
     for (const auto& connection : endpoint->peers) connection->reset();
   const auto response = client.receive();
   ASSERT_TRUE(response);
@@ -256,19 +257,19 @@
  protected:
   UnreadBodyTest() { rig.config.connect_timeout = 60'000'000; }
   void start_with(const tcp::acceptor& server) {
-    DiscoveredEndpoint endpoint = member("s2", s1);
+    DiscoveredEndpoint endpoint = discovered_endpoint("s2", s1);
     endpoint.address = server.local_endpoint();
     rig.config.initial_endpoints.endpoints = {endpoint};
     rig.start();
     rig.clock.stop();
     client.emplace(rig.client());
     asio::async_write(client->socket, asio::buffer(request), [&](error_code ec, std::size_t) { sent = !ec; });
-    ASSERT_TRUE(rig.until([&] { return sent; }));
+    ASSERT_TRUE(rig.run_until([&] { return sent; }));
     advance(20'000);
   }
   void advance(Duration duration) {
-    rig.clock.move(duration);
-    wait(rig.io, 60);  // lets the timers run
+    rig.clock.advance(duration);
+    run_for(rig.io, 60);  // lets the timers run
   }
   // The client timeout is 4 s from the last byte of the request.
   void expect_timeout_response(Duration elapsed) {
@@ -308,7 +309,7 @@
     in.clear();
   });
   peer->read();
-  ASSERT_TRUE(rig.until([&] { return got > 300'000; }));
+  ASSERT_TRUE(rig.run_until([&] { return got > 300'000; }));
   expect_timeout_response(3'020'000);
 }
 
@@ -316,40 +317,40 @@
   const std::string large = upload("a", length(16 << 20)) + text(16 << 20);
   tcp::socket accepted(rig.io);
   server.async_accept(accepted, [](error_code) {});
-  DiscoveredEndpoint endpoint = member("s2", s1);
+  DiscoveredEndpoint endpoint = discovered_endpoint("s2", s1);
   endpoint.address = server.local_endpoint();
   rig.config.initial_endpoints.endpoints = {endpoint};
   rig.start();
   rig.clock.stop();
   client.emplace(rig.client());
   send_all(*client, large);
-  ASSERT_TRUE(rig.until([&] { return accepted.is_open(); }));
+  ASSERT_TRUE(rig.run_until([&] { return accepted.is_open(); }));
   std::vector<char> part(2 << 20);
   for (int i = 0; i < 8; ++i) {  // 6.4 s in all; the client timeout is 4 s
     advance(800'000);
     bool got = false;
     asio::async_read(accepted, asio::buffer(part), [&](error_code ec, std::size_t) { got = !ec; });
-    ASSERT_TRUE(rig.until([&] { return got; })) << i;
+    ASSERT_TRUE(rig.run_until([&] { return got; })) << i;
   }
   std::size_t rest = 0;
   const auto peer = std::make_shared<Peer>(
       std::move(accepted), [&](Peer&, std::string& in) { rest += std::exchange(in, {}).size(); });
   peer->read();
-  wait(rig.io, 60);
+  run_for(rig.io, 60);
   peer->write(reply("200 OK", "", "late"));
   EXPECT_EQ(status(*client), 200);
 }
 
 TEST_F(UnreadBodyTest, IsAwaitedWhileMoreIsUnsentThanTheClientKernelCanBuffer) {
   rig.config.initial_endpoints.endpoints = {};
-  DiscoveredEndpoint endpoint = member("s2", s1);
+  DiscoveredEndpoint endpoint = discovered_endpoint("s2", s1);
   endpoint.address = server.local_endpoint();
   rig.config.initial_endpoints.endpoints = {endpoint};
   rig.start();
   rig.clock.stop();
   Client slow = rig.client();
   slow.send(upload("slow", length(30'000'000)) + text(70'000));
-  wait(rig.io, 20);
+  run_for(rig.io, 20);
   for (int i = 0; i < 5; ++i) advance(1'500'000);
   EXPECT_EQ(slow.socket.available(), 0u);
   slow.socket.close();
@@ -361,7 +362,7 @@
   std::optional<error_code> sent;
   const std::string all = "POST /nowhere HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + text(40'000'000);
   asio::async_write(client.socket, asio::buffer(all), [&](error_code ec, std::size_t) { sent = ec; });
-  ASSERT_TRUE(rig.until([&] { return sent.has_value(); }));
+  ASSERT_TRUE(rig.run_until([&] { return sent.has_value(); }));
   EXPECT_TRUE(*sent);  // the connection ended before all data was sent
 }
 
@@ -373,22 +374,22 @@
   rig.config.counter = counter.address();
   rig.config.max_sockets = 64;
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
+  ASSERT_TRUE(rig.run_until([&] { return rig.discovery.requested_targets.size() == 1; }));
   const auto at = rig.discovery.address();
   rig.discovery.stop();
   std::deque<Client> idle;
   for (int i = 0; i < 200; ++i) idle.emplace_back(rig.io, rig.coordinator->address());
-  EXPECT_TRUE(idle.front().ended());  // the descriptors for clients are used up
+  EXPECT_TRUE(idle.front().closed_by_peer());  // the descriptors for clients are used up
   Client client = rig.client();
-  client.send(get("a"));
+  client.send(get_request("a"));
   EXPECT_EQ(status(client), 200);
   EXPECT_FALSE(counter.calls.empty());
-  FakeServer s2(rig.io);
+  FakeEndpoint s2(rig.io);
   FakeDiscovery back(rig.io, at);
-  back.first = list(42, true, entry("s2", s2.text()));
-  ASSERT_TRUE(rig.until([&] { return back.asked.size() == 1; }));
-  wait(rig.io, 20);
-  client.send(get("b"));
+  back.first_update = update_json(42, true, endpoint_json("s2", s2.address_text()));
+  ASSERT_TRUE(rig.run_until([&] { return back.requested_targets.size() == 1; }));
+  run_for(rig.io, 20);
+  client.send(get_request("b"));
   EXPECT_EQ(status(client), 200);
   EXPECT_EQ(s2.requests.size(), 1u);
 }
@@ -397,17 +398,17 @@
   rig.config.max_sockets = 64;
   rig.start();
   Client slow = rig.client();
-  slow.send(get("slow").substr(0, 60));
+  slow.send(get_request("slow").substr(0, 60));
   std::deque<Client> silent_clients;
   for (int i = 0; i < 60; ++i) {
     silent_clients.emplace_back(rig.io, rig.coordinator->address());
     if (i % 10 != 9) continue;
     Client client = rig.client();
-    client.send(get("t" + std::to_string(i)));
+    client.send(get_request("t" + std::to_string(i)));
     EXPECT_EQ(status(client), 200) << i;
   }
-  EXPECT_TRUE(silent_clients.front().ended());
-  slow.send(get("slow").substr(60));  // it has begun a request and so was not evicted
+  EXPECT_TRUE(silent_clients.front().closed_by_peer());
+  slow.send(get_request("slow").substr(60));  // it has begun a request and so was not evicted
   EXPECT_EQ(status(slow), 200);
 }
 
--- a/tests/client/client_disconnect_test.cpp
+++ b/tests/client/client_disconnect_test.cpp
@@ -20,9 +20,9 @@
           3'000'000;  // a quarter of it is the longest wait in the admission queue
   }
   // The next request is forwarded, and it is the only one.
-  void expect_only_next_request_forwarded(FakeServer& server) {
+  void expect_only_next_request_forwarded(FakeEndpoint& server) {
     Client next = rig.client();
-    next.send(get("next"));
+    next.send(get_request("next"));
     ASSERT_TRUE(next.receive());
     ASSERT_EQ(server.requests.size(), 1u);
     EXPECT_EQ(server.requests[0]["X-Trace-Id"], "next");
@@ -34,21 +34,21 @@
   }
   void disconnect_during_connect(const std::string& request);
   Rig rig;
-  FakeServer s1{rig.io};
+  FakeEndpoint s1{rig.io};
 };
 INSTANTIATE_TEST_SUITE_P(Cancels, ClientDisconnectTest, ::testing::Bool());
 
 TEST_P(ClientDisconnectTest, WhileWaitingForAnEndpoint) {
-  rig.discovery.first = "\n";
+  rig.discovery.first_update = "\n";
   rig.start();  // without an endpoint
   {
     Client client = rig.client();
-    client.send(get("disconnected"));
-    wait(rig.io, 20);
+    client.send(get_request("disconnected"));
+    run_for(rig.io, 20);
   }
-  wait(rig.io, kAfterDisconnect);
-  rig.discovery.tell(list(42, false, entry("s1", s1.text())));
-  wait(rig.io, 20);
+  run_for(rig.io, kAfterDisconnect);
+  rig.discovery.send_update(update_json(42, false, endpoint_json("s1", s1.address_text())));
+  run_for(rig.io, 20);
   expect_only_next_request_forwarded(s1);
 }
 
@@ -58,14 +58,14 @@
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 1'000'000;
   rig.config.counter = counter.address();
-  rig.know(member("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", s1));
   rig.start();
   {
     Client client = rig.client();
-    client.send(get("disconnected"));
-    ASSERT_TRUE(rig.until([&] { return counter.calls.size() == 1; }));
+    client.send(get_request("disconnected"));
+    ASSERT_TRUE(rig.run_until([&] { return counter.calls.size() == 1; }));
   }
-  wait(rig.io, kAfterDisconnect);
+  run_for(rig.io, kAfterDisconnect);
   EXPECT_TRUE(s1.requests.empty());
   counter.silent = false;
   counter.last->write("$1\r\n1\r\n");
@@ -79,17 +79,17 @@
   full.listen(0);
   tcp::socket filler(rig.io);
   filler.connect(full.local_endpoint());
-  DiscoveredEndpoint endpoint = member("s1", s1);
+  DiscoveredEndpoint endpoint = discovered_endpoint("s1", s1);
   endpoint.address = full.local_endpoint();
-  rig.know(endpoint);
+  rig.add_endpoint(endpoint);
   rig.config.connect_timeout = 3'500'000;
   rig.start();
   {
     Client client = rig.client();
     client.send(request);
-    wait(rig.io, 20);
+    run_for(rig.io, 20);
   }
-  wait(rig.io, kAfterDisconnect);
+  run_for(rig.io, kAfterDisconnect);
   std::vector<std::shared_ptr<tcp::socket>> accepted;
   std::function<void()> accept = [&] {
     full.async_accept([&](error_code ec, tcp::socket socket) {
@@ -99,35 +99,35 @@
     });
   };
   accept();
-  wait(rig.io, 1500);  // longer than the kernel's first retry
+  run_for(rig.io, 1500);  // longer than the kernel's first retry
   error_code ignored;
   for (const auto& socket : accepted) EXPECT_EQ(socket->available(ignored), 0u);
   full.close();
 }
 
 TEST_P(ClientDisconnectTest, WhileAConnectionIsEstablishedLate) {
-  disconnect_during_connect(post("disconnected"));
+  disconnect_during_connect(post_request("disconnected"));
 }
 
 TEST_P(ClientDisconnectTest, BetweenTwoAttempts) {
-  FakeServer busy(rig.io);
-  busy.on_request = [](Peer& connection, const Request_&) {
+  FakeEndpoint busy(rig.io);
+  busy.on_request = [](Peer& connection, const HttpRequest&) {
     connection.write(reply("503 No", "X-Never-Ran: 1\r\n"));
   };
-  rig.know(member("s0", busy));
+  rig.add_endpoint(discovered_endpoint("s0", busy));
   rig.config.settings.max_attempts = 2;
   rig.start();
   Client stays = rig.client();
   {
     Client client = rig.client();
-    client.send(get("disconnected"));
-    ASSERT_TRUE(rig.until([&] { return busy.requests.size() == 1; }));
-    stays.send(get("stays"));
-    ASSERT_TRUE(rig.until([&] { return busy.requests.size() == 2; }));
-    wait(rig.io, 5);
+    client.send(get_request("disconnected"));
+    ASSERT_TRUE(rig.run_until([&] { return busy.requests.size() == 1; }));
+    stays.send(get_request("stays"));
+    ASSERT_TRUE(rig.run_until([&] { return busy.requests.size() == 2; }));
+    run_for(rig.io, 5);
   }
-  wait(rig.io, kAfterDisconnect);
-  rig.discovery.tell(list(42, true, entry("s1", s1.text())));
+  run_for(rig.io, kAfterDisconnect);
+  rig.discovery.send_update(update_json(42, true, endpoint_json("s1", s1.address_text())));
   ASSERT_TRUE(stays.receive());
   EXPECT_EQ(busy.requests.size(), 2u);
   ASSERT_EQ(s1.requests.size(), 1u);
@@ -140,11 +140,11 @@
   {
     Client client = rig.client();
     client.send(upload("disconnected") + std::string(100'000, 'x'));
-    wait(rig.io, 20);
+    run_for(rig.io, 20);
   }
-  wait(rig.io, kAfterDisconnect);
-  rig.discovery.tell(list(42, false, entry("s1", s1.text())));
-  wait(rig.io, 20);
+  run_for(rig.io, kAfterDisconnect);
+  rig.discovery.send_update(update_json(42, false, endpoint_json("s1", s1.address_text())));
+  run_for(rig.io, 20);
   ASSERT_TRUE(s1.peers.empty());
   expect_only_next_request_forwarded(s1);
 }
@@ -155,11 +155,11 @@
 
 TEST_P(ClientDisconnectTest, RightAfterItsRequest) {
   // Guards against a request that is forwarded although the end of its connection could be read with it.
-  rig.know(member("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", s1));
   rig.start();
   {
     Client client = rig.client();
-    client.send(get("disconnected"));
+    client.send(get_request("disconnected"));
   }
   expect_only_next_request_forwarded(s1);
 }
@@ -169,24 +169,24 @@
   rig.start();  // without an endpoint
   {
     Client client = rig.client();
-    client.send(get("disconnected") + std::string(200'000, 'x'));
-    wait(rig.io, 20);
+    client.send(get_request("disconnected") + std::string(200'000, 'x'));
+    run_for(rig.io, 20);
   }
-  wait(rig.io, kAfterDisconnect);
-  rig.discovery.tell(list(42, false, entry("s1", s1.text())));
-  wait(rig.io, 20);
+  run_for(rig.io, kAfterDisconnect);
+  rig.discovery.send_update(update_json(42, false, endpoint_json("s1", s1.address_text())));
+  run_for(rig.io, 20);
   expect_only_next_request_forwarded(s1);
 }
 
 TEST_P(ClientDisconnectTest, ClientThatStaysReceivesItsResponseBeyondTheReadAheadLimit) {
-  rig.know(member("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", s1));
   std::shared_ptr<Peer> pending_peer;
-  s1.on_request = [&](Peer& connection, const Request_&) { pending_peer = connection.shared_from_this(); };
+  s1.on_request = [&](Peer& connection, const HttpRequest&) { pending_peer = connection.shared_from_this(); };
   rig.start();
   Client client = rig.client();
-  client.send(get("stays") + std::string(200'000, 'x'));
-  ASSERT_TRUE(rig.until([&] { return pending_peer != nullptr; }));
-  wait(rig.io, 20);
+  client.send(get_request("stays") + std::string(200'000, 'x'));
+  ASSERT_TRUE(rig.run_until([&] { return pending_peer != nullptr; }));
+  run_for(rig.io, 20);
   pending_peer->write(reply("200 OK", "", "late"));
   const auto response = client.receive();
   ASSERT_TRUE(response);
@@ -203,19 +203,19 @@
   rig.config.settings.counter_timeout = 1'000'000;
   rig.config.settings.plans[0].max_concurrent_attempts = 1;
   rig.config.counter = counter.address();
-  rig.know(member("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", s1));
   rig.start();
   {
     Client client = rig.client();
-    client.send(get("disconnected"));
-    ASSERT_TRUE(rig.until([&] { return counter.calls.size() == 1; }));
+    client.send(get_request("disconnected"));
+    ASSERT_TRUE(rig.run_until([&] { return counter.calls.size() == 1; }));
     while (rig.io.poll() > 0) rig.io.restart();
     rig.io.restart();
     counter.last->write("$1\r\n1\r\n");  // both are read in one iteration of the event loop
   }
-  wait(rig.io, 50);
+  run_for(rig.io, 50);
   Client next = rig.client();
-  next.send(get("next"));
+  next.send(get_request("next"));
   const auto response = next.receive();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 200u);  // its slot under the concurrency cap is free
@@ -223,7 +223,7 @@
 
 TEST(ClientDisconnectDuringHotRestartTest, WhileTheProcessWaitsForItsPredecessor) {
   asio::io_context io;
-  FakeServer server(io);
+  FakeEndpoint server(io);
   FakeDiscovery discovery(io);
   char shared[] = "/tmp/quota-gateway-test-XXXXXX";
   ASSERT_NE(::mkdtemp(shared), nullptr);
@@ -235,13 +235,13 @@
   tcp::acceptor platform(io, {asio::ip::address_v4::loopback(), 0});
   {
     Client client(io, platform.local_endpoint());
-    client.send(get("disconnected"));
+    client.send(get_request("disconnected"));
   }
-  Process process(config(platform.local_endpoint().port(), server, discovery), platform.native_handle(),
-                  shared);
+  Process process(configuration_json(platform.local_endpoint().port(), server, discovery),
+                  platform.native_handle(), shared);
   ASSERT_NE(process.log_until("does not answer").find("does not answer"), std::string::npos);
   Client next(io, platform.local_endpoint());
-  next.send(get("next"));
+  next.send(get_request("next"));
   ASSERT_TRUE(next.receive());
   ASSERT_EQ(server.requests.size(), 1u);
   EXPECT_EQ(server.requests[0]["X-Trace-Id"], "next");
--- a/tests/counter/counter_client_test.cpp
+++ b/tests/counter/counter_client_test.cpp
@@ -22,7 +22,7 @@
     const auto expected = replies.size() + 1;
     client->increment({name, amount, 4'000'000});
     EXPECT_EQ(replies.size(), expected - 1);  // never from within the call
-    EXPECT_TRUE(until(io, [&] { return replies.size() == expected; }));
+    EXPECT_TRUE(run_until(io, [&] { return replies.size() == expected; }));
     return replies.empty() ? CounterReply{} : replies.back();
   }
 
@@ -78,9 +78,9 @@
   ASSERT_EQ(increment(1).outcome, CounterOutcome::kOk);
   server->silent = true;
   client->increment({1, 1, 4'000'000});
-  ASSERT_TRUE(until(io, [&] { return server->calls.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return server->calls.size() == 2; }));
   server->last->reset();
-  ASSERT_TRUE(until(io, [&] { return replies.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return replies.size() == 2; }));
   EXPECT_EQ(replies[1].outcome, CounterOutcome::kUnknown);
 }
 
@@ -93,7 +93,7 @@
   server->silent = false;
   client->increment({3, 5, 4'000'000});
   server->last->write("$3\r\n222\r\n");  // the reply to increment 2, after its timeout
-  ASSERT_TRUE(until(io, [&] { return replies.size() == 3; }));
+  ASSERT_TRUE(run_until(io, [&] { return replies.size() == 3; }));
   EXPECT_EQ(replies[2].name, 3);
   // Any other outcome means that the test process was suspended for a call timeout.
   if (replies[2].outcome == CounterOutcome::kOk) {
@@ -108,7 +108,7 @@
   server->silent = true;
   const auto before = server->peers.size();
   EXPECT_EQ(increment(1).outcome, CounterOutcome::kUnknown);
-  ASSERT_TRUE(until(io, [&] { return server->peers.size() > before; }));
+  ASSERT_TRUE(run_until(io, [&] { return server->peers.size() > before; }));
   EXPECT_LE(server->peers.size(), before + 2);  // no storm of connections
   server->silent = false;
   EXPECT_TRUE(reconnects());
@@ -118,7 +118,7 @@
   start_client();
   ASSERT_EQ(increment(1).outcome, CounterOutcome::kOk);
   server->stop();
-  ASSERT_TRUE(until(io, [&] { return increment(1).outcome == CounterOutcome::kNotAdded; }));
+  ASSERT_TRUE(run_until(io, [&] { return increment(1).outcome == CounterOutcome::kNotAdded; }));
   server.reset();
   server.emplace(io, address);
   EXPECT_TRUE(reconnects());
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -15,8 +15,8 @@
 
   void advance_clock(Duration span) {
     timers.schedule_after(10'000, [] {});  // so that the timers read the clock soon
-    clock.move(span);
-    wait(io, 50);
+    clock.advance(span);
+    run_for(io, 50);
   }
 
   asio::io_context io;
@@ -31,9 +31,9 @@
 };
 
 TEST_F(DiscoveryClientTest, WatchesFromTheKnownRevisionAndReportsUpdates) {
-  agent.first = list(43, false, entry("s1", "127.0.0.1:9", "draining", 1500));
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
-  EXPECT_EQ(agent.asked.at(0), "/catalog/members?watch=1&after=41");
+  agent.first_update = update_json(43, false, endpoint_json("s1", "127.0.0.1:9", "draining", 1500));
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
+  EXPECT_EQ(agent.requested_targets.at(0), "/catalog/members?watch=1&after=41");
   EXPECT_EQ(updates[0].revision, 43);
   EXPECT_FALSE(updates[0].complete);
   const auto& endpoint = updates[0].endpoints.at(0);
@@ -44,86 +44,86 @@
 }
 
 TEST_F(DiscoveryClientTest, AcceptsALineInPieces) {
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 1; }));
-  const std::string line = list(44, true, entry("s1", "127.0.0.1:9"));
+  ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() == 1; }));
+  const std::string line = update_json(44, true, endpoint_json("s1", "127.0.0.1:9"));
   const std::string bytes = FakeDiscovery::chunk("\n") + FakeDiscovery::chunk(line.substr(0, 20)) +
                             FakeDiscovery::chunk(line.substr(20) + line.substr(0, 9));
-  for (const char byte : bytes) agent.raw(std::string(1, byte));
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  for (const char byte : bytes) agent.write_raw(std::string(1, byte));
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_TRUE(updates[0].complete);
 }
 
 TEST_F(DiscoveryClientTest, ResumesABrokenWatchAtTheLastRevision) {
-  agent.first = list(43, false, "");
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  agent.first_update = update_json(43, false, "");
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   agent.peers[0]->reset();
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 2; }));
-  EXPECT_EQ(agent.asked.at(1), "/catalog/members?watch=1&after=43");
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 2; }));
+  EXPECT_EQ(agent.requested_targets.at(1), "/catalog/members?watch=1&after=43");
 }
 
 TEST_F(DiscoveryClientTest, ReplacesAWatchWithoutAResponse) {
   // A watch may stay open without any data, not even a heartbeat.
-  agent.mute = true;
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 2; }));
-  agent.mute = false;
-  agent.first = list(45, true, "");
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  agent.silent = true;
+  ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() == 2; }));
+  agent.silent = false;
+  agent.first_update = update_json(45, true, "");
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
 }
 
 TEST_F(DiscoveryClientTest, RequestsTheCompleteListAfterAMalformedMessage) {
   // An update may be lost in a line that was not understood.
-  agent.first = "{\"revision\":\"x\"}\n";
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() >= 2; }));
-  agent.first = list(50, true, entry("s1", "127.0.0.1:9"));
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
-  EXPECT_EQ(agent.asked.back(), "/catalog/members?watch=1");
+  agent.first_update = "{\"revision\":\"x\"}\n";
+  ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() >= 2; }));
+  agent.first_update = update_json(50, true, endpoint_json("s1", "127.0.0.1:9"));
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
+  EXPECT_EQ(agent.requested_targets.back(), "/catalog/members?watch=1");
 }
 
 TEST_F(DiscoveryClientTest, DetectsSilenceWhileThereIsTimeForANewWatch) {
   // An update that a silent watch missed has to be known 6 s after the silence began.
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 1; }));
-  wait(io, 20);
+  ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() == 1; }));
+  run_for(io, 20);
   advance_clock(4'500'000);
-  EXPECT_EQ(agent.asked.size(), 2u);
+  EXPECT_EQ(agent.requested_targets.size(), 2u);
 }
 
 TEST_F(DiscoveryClientTest, DoesNotCountIncompleteLinesAsHeartbeats) {
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 1; }));
-  wait(io, 20);
+  ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() == 1; }));
+  run_for(io, 20);
   for (int i = 0; i < 3; ++i) {
     advance_clock(1'400'000);
-    agent.raw(FakeDiscovery::chunk(" "));
-    wait(io, 20);
+    agent.write_raw(FakeDiscovery::chunk(" "));
+    run_for(io, 20);
   }
-  EXPECT_EQ(agent.asked.size(), 1u);
+  EXPECT_EQ(agent.requested_targets.size(), 1u);
   advance_clock(400'000);
-  EXPECT_EQ(agent.asked.size(), 2u);
+  EXPECT_EQ(agent.requested_targets.size(), 2u);
 }
 
 TEST_F(DiscoveryClientTest, RetriesAnAgentThatDoesNotRespondWithinTheDrainGrace) {
-  agent.mute = true;
-  wait(io, 400);
-  EXPECT_GE(agent.asked.size(), 2u);
+  agent.silent = true;
+  run_for(io, 400);
+  EXPECT_GE(agent.requested_targets.size(), 2u);
 }
 
 TEST_F(DiscoveryClientTest, ReconnectsWithinTheDrainGraceHoweverLongTheAgentWasDown) {
-  agent.first = list(43, false, "");
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  agent.first_update = update_json(43, false, "");
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   const auto address = agent.address();
   agent.stop();
-  wait(io, 1600);  // longer than delays of 0.1, 0.2, 0.4 and 0.8 s, which an unbounded backoff would reach
+  run_for(io, 1600);  // longer than delays of 0.1, 0.2, 0.4 and 0.8 s, which an unbounded backoff would reach
   FakeDiscovery restarted_agent(io, address);
-  wait(io, 400);
-  EXPECT_GE(restarted_agent.asked.size(), 1u);
+  run_for(io, 400);
+  EXPECT_GE(restarted_agent.requested_targets.size(), 1u);
 }
 
 TEST_F(DiscoveryClientTest, LeavesTheAgentItsTimeToRespondAfterASuspension) {
   // The connection must survive if its completion and its timeout are handled in one turn of the loop.
   timers.schedule_after(0, [] {});  // so that the timers read the clock at once
-  clock.move(3'000'000);
-  wait(io, 50);
+  clock.advance(3'000'000);
+  run_for(io, 50);
   EXPECT_EQ(agent.peers.size(), 1u);
-  EXPECT_EQ(agent.asked.size(), 1u);
+  EXPECT_EQ(agent.requested_targets.size(), 1u);
 }
 
 // An update while the watch is silent, where the requests after it meet the given failures before one
@@ -133,12 +133,12 @@
   // Advances the clock in steps until `deadline` or an update. Returns whether there is an update.
   bool is_updated_by(TimePoint deadline) {
     timers.schedule_after(1'000, [] {});  // so that the timers read the clock soon
-    clock.move(std::max<Duration>(0, deadline - clock.now() - 1'600'000));
-    wait(io, 3);
+    clock.advance(std::max<Duration>(0, deadline - clock.now() - 1'600'000));
+    run_for(io, 3);
     while (updates.empty() && clock.now() < deadline) {
       timers.schedule_after(1'000, [] {});
-      clock.move(20'000);
-      wait(io, 3);
+      clock.advance(20'000);
+      run_for(io, 3);
     }
     return !updates.empty();
   }
@@ -153,7 +153,8 @@
 
 const std::string kNoResponse;
 const std::string kHeaderOnly = FakeDiscovery::kHead;
-const std::string kStalledMessage = kHeaderOnly + FakeDiscovery::chunk(list(45, true, "").substr(0, 20));
+const std::string kStalledMessage =
+    kHeaderOnly + FakeDiscovery::chunk(update_json(45, true, "").substr(0, 20));
 const std::string kRejected = reply("503 No");
 const std::string kMalformedMessage = kHeaderOnly + FakeDiscovery::chunk("{\"revision\":\"x\"}\n");
 
@@ -162,12 +163,12 @@
   DiscoveryClient client(io, timers, clock, agent.address(), 41, grace,
                          [this](const DiscoveryUpdate& update) { updates.push_back(update); });
   client.start();
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 1; }));
-  wait(io, 20);
+  ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() == 1; }));
+  run_for(io, 20);
   clock.stop();
-  agent.first = list(45, true, "");
-  agent.instead.assign(failures.begin(), failures.end());
-  EXPECT_TRUE(is_updated_by(clock.now() + 6'000'000)) << agent.asked.size() << " requests";
+  agent.first_update = update_json(45, true, "");
+  agent.scripted_responses.assign(failures.begin(), failures.end());
+  EXPECT_TRUE(is_updated_by(clock.now() + 6'000'000)) << agent.requested_targets.size() << " requests";
 }
 
 TEST_P(EndpointUpdateTest, IsReceivedInTimeFromANewAddressDespiteFailedRequests) {
@@ -175,16 +176,16 @@
   DiscoveryClient client(io, timers, clock, agent.address(), 41, grace,
                          [this](const DiscoveryUpdate& update) { updates.push_back(update); });
   client.start();
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 1; }));
-  wait(io, 20);
+  ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() == 1; }));
+  run_for(io, 20);
   clock.stop();
-  agent.mute = true;
-  new_agent.first = list(45, true, "");
-  new_agent.instead.assign(failures.begin(), failures.end());
+  agent.silent = true;
+  new_agent.first_update = update_json(45, true, "");
+  new_agent.scripted_responses.assign(failures.begin(), failures.end());
   const TimePoint silent_since = clock.now();
   EXPECT_FALSE(is_updated_by(silent_since + 4'700'000));
   client.reconnect_to(new_agent.address());
-  EXPECT_TRUE(is_updated_by(silent_since + 6'000'000)) << new_agent.asked.size() << " requests";
+  EXPECT_TRUE(is_updated_by(silent_since + 6'000'000)) << new_agent.requested_targets.size() << " requests";
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -200,27 +201,27 @@
 
 TEST_F(DiscoveryClientTest, IgnoresAnOlderRevision) {
   // An agent that lags behind the one before it must not bring a draining endpoint back into use.
-  agent.first = list(43, true, entry("s1", "127.0.0.1:9", "draining"));
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  agent.first_update = update_json(43, true, endpoint_json("s1", "127.0.0.1:9", "draining"));
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   FakeDiscovery lagging_agent(io);
-  lagging_agent.first = list(42, true, entry("s1", "127.0.0.1:9"));
+  lagging_agent.first_update = update_json(42, true, endpoint_json("s1", "127.0.0.1:9"));
   client.reconnect_to(lagging_agent.address());
-  ASSERT_TRUE(until(io, [&] { return lagging_agent.asked.size() == 1; }));
-  EXPECT_EQ(lagging_agent.asked[0], "/catalog/members?watch=1&after=43");
-  wait(io, 20);
-  lagging_agent.tell(list(41, false, entry("s2", "127.0.0.1:9")));
-  lagging_agent.tell(list(44, false, entry("s3", "127.0.0.1:9")));
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return lagging_agent.requested_targets.size() == 1; }));
+  EXPECT_EQ(lagging_agent.requested_targets[0], "/catalog/members?watch=1&after=43");
+  run_for(io, 20);
+  lagging_agent.send_update(update_json(41, false, endpoint_json("s2", "127.0.0.1:9")));
+  lagging_agent.send_update(update_json(44, false, endpoint_json("s3", "127.0.0.1:9")));
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 2; }));
   EXPECT_EQ(updates[1].revision, 44);
-  EXPECT_EQ(lagging_agent.asked.size(), 1u);  // the watch continues while the agent catches up
+  EXPECT_EQ(lagging_agent.requested_targets.size(), 1u);  // the watch continues while the agent catches up
 }
 
 TEST_F(DiscoveryClientTest, AcceptsAnIndentedObject) {
-  const auto text = list(44, true, entry("s\\\"{", "127.0.0.1:9"));
-  agent.first = nlohmann::json::parse(text).dump(1) + "\n\n" + list(45, false, "");
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 2; }));
+  const auto text = update_json(44, true, endpoint_json("s\\\"{", "127.0.0.1:9"));
+  agent.first_update = nlohmann::json::parse(text).dump(1) + "\n\n" + update_json(45, false, "");
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 2; }));
   EXPECT_EQ(updates[0].endpoints.at(0).entry.endpoint, "s\"{");
-  EXPECT_EQ(agent.asked.size(), 1u);
+  EXPECT_EQ(agent.requested_targets.size(), 1u);
 }
 
 TEST(DiscoveryProtocolTest, RejectsListsOfTheWrongShape) {
--- a/tests/restart/stored_files_test.cpp
+++ b/tests/restart/stored_files_test.cpp
@@ -68,19 +68,19 @@
     char name[] = "/tmp/quota-gateway-test-XXXXXX";
     EXPECT_NE(::mkdtemp(name), nullptr);
     directory = name;
-    servers[0].on_request = [this](Peer& peer, const Request_& request) {
+    servers[0].on_request = [this](Peer& peer, const HttpRequest& request) {
       if (request["X-Trace-Id"] == "pending") return;
       peer.write(reply("200 OK", "", "x"));
     };
     for (int i = 1; i < 3; ++i)
-      servers[i].on_request = [](Peer& peer, const Request_&) { peer.write(reply("200 OK", "", "x")); };
+      servers[i].on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK", "", "x")); };
   }
   ~StoredFiles() override { fs::remove_all(directory); }
 
   std::string endpoints() const {
     std::string out;
     for (int i = 0; i < 3; ++i)
-      out += (i > 0 ? "," : "") + entry("s" + std::to_string(i + 1), servers[i].text());
+      out += (i > 0 ? "," : "") + endpoint_json("s" + std::to_string(i + 1), servers[i].address_text());
     return out;
   }
   std::string configuration(std::uint16_t admin) const {
@@ -95,8 +95,8 @@
         "Obligations":{"ColdShare":0.05,"ColdUs":60000000,"TipMultiple":1.0,"TipAfterUs":5000000}}})");
     out["listen"] = "127.0.0.1:" + std::to_string(platform.local_endpoint().port());
     out["admin_addr"] = "127.0.0.1:" + std::to_string(admin);
-    out["discovery"] = discovery.text();
-    out["known"] = json::parse(list(41, true, endpoints()));
+    out["discovery"] = discovery.address_text();
+    out["known"] = json::parse(update_json(41, true, endpoints()));
     return out.dump();
   }
   static std::string request(const std::string& id, const std::string& customer, const std::string& plan) {
@@ -124,22 +124,24 @@
     const auto admin = free_port(io);
     Process gateway(configuration(admin), platform.native_handle(), directory.string());
     ASSERT_NE(gateway.log_until(": ready").find(": ready"), std::string::npos);
-    ASSERT_TRUE(until(io, [&] { return !discovery.asked.empty(); }));
+    ASSERT_TRUE(run_until(io, [&] { return !discovery.requested_targets.empty(); }));
     const auto wall = std::chrono::system_clock::now().time_since_epoch();
     const auto now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(wall).count();
-    discovery.tell(list(42, false, entry("s2", servers[1].text(), "up", now_ms)));
+    discovery.send_update(
+        update_json(42, false, endpoint_json("s2", servers[1].address_text(), "up", now_ms)));
     call_admin(admin, "POST /-/booking-servers/s3/disable");
     for (int i = 0; i < 6; ++i) status_of(kExhausted, "narrow");
     for (int i = 0; i < 60; ++i) status_of(kSteady, "wide");
     Client waiting(io, platform.local_endpoint());
     const std::size_t before = servers[0].requests.size() + servers[1].requests.size();
-    servers[1].on_request = [](Peer&, const Request_&) {};
+    servers[1].on_request = [](Peer&, const HttpRequest&) {};
     waiting.send(request("pending", kBusy, "single"));
-    ASSERT_TRUE(until(io, [&] { return servers[0].requests.size() + servers[1].requests.size() > before; }));
+    ASSERT_TRUE(
+        run_until(io, [&] { return servers[0].requests.size() + servers[1].requests.size() > before; }));
     json fixture_owner = json::parse(read_text(directory / "owner.json"));
     const LivenessLockFile successor(directory, "successor");
     write_json(directory / "owner.json", {{"token", "successor"}, {"clock", 0}});
-    ASSERT_TRUE(until(io, [&] { return fs::exists(directory / "open.json"); }));
+    ASSERT_TRUE(run_until(io, [&] { return fs::exists(directory / "open.json"); }));
     fixture_owner["recorded_at"] =
         fixture_owner["clock"].get<TimePoint>() + steady_now();  // for the test only
     std::ofstream(std::string(kFixtures) + "owner.json") << fixture_owner.dump();
@@ -148,8 +150,8 @@
     gateway.kill();
     fs::remove_all(directory);
     fs::create_directory(directory);
-    for (FakeServer& server : servers) server.requests.clear();
-    servers[1].on_request = [](Peer& peer, const Request_&) { peer.write(reply("200 OK", "", "x")); };
+    for (FakeEndpoint& server : servers) server.requests.clear();
+    servers[1].on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK", "", "x")); };
   }
   // A fixture that is addressed to the process named by `token`.
   static json addressed_to(const std::string& token, const std::string& file) {
@@ -159,7 +161,7 @@
   }
 
   asio::io_context io;
-  FakeServer servers[3]{FakeServer(io), FakeServer(io), FakeServer(io)};
+  FakeEndpoint servers[3]{FakeEndpoint(io), FakeEndpoint(io), FakeEndpoint(io)};
   FakeDiscovery discovery{io};
   tcp::acceptor platform{io, {asio::ip::address_v4::loopback(), 0}};
   fs::path directory;
@@ -180,7 +182,7 @@
 
   const auto admin = free_port(io);
   Process gateway(configuration(admin), platform.native_handle(), directory.string());
-  ASSERT_TRUE(until(io, [&] { return !owner().empty() && owner() != predecessor; }));
+  ASSERT_TRUE(run_until(io, [&] { return !owner().empty() && owner() != predecessor; }));
   write_json(directory / "open.json", addressed_to(owner(), "open.json"));
   write_json(directory / "state.json", addressed_to(owner(), "state.json"));
   ASSERT_NE(gateway.log_until(": ready").find(": ready"), std::string::npos);
@@ -191,12 +193,12 @@
   EXPECT_EQ(status_of(kExhausted, "narrow"), 429);
   EXPECT_EQ(status_of(kFresh, "narrow"), 200);
 
-  ASSERT_TRUE(until(io, [&] { return status_of(kBusy, "single") == 429; }));
+  ASSERT_TRUE(run_until(io, [&] { return status_of(kBusy, "single") == 429; }));
   json open = addressed_to(owner(), "open.json");
   EXPECT_EQ(open.at("open").size(), 1u);
   open["open"] = json::object();
   write_json(directory / "open.json", open);
-  EXPECT_TRUE(until(io, [&] { return status_of(kBusy, "single") == 200; }));
+  EXPECT_TRUE(run_until(io, [&] { return status_of(kBusy, "single") == 200; }));
 
   for (int i = 0; i < 40; ++i) EXPECT_EQ(status_of(kSteady, "wide"), 200);
   EXPECT_GE(servers[0].requests.size(), 36u);
--- a/tests/runtime/system_call_fault_test.cpp
+++ b/tests/runtime/system_call_fault_test.cpp
@@ -14,7 +14,7 @@
  protected:
   // Starts the gateway with injected faults and waits until it is ready.
   Process& start(const std::string& faults = "") {
-    auto json = nlohmann::json::parse(config(port, server, discovery));
+    auto json = nlohmann::json::parse(configuration_json(port, server, discovery));
     auto& plan = json["settings"]["TiersOfService"][0];
     plan["QuotaRate"] = 1e6;
     plan["Depth"] = 1e6;
@@ -25,7 +25,7 @@
   Client connect_client() { return {io, {asio::ip::address_v4::loopback(), port}}; }
   void expect_served(const std::string& id) {
     Client client = connect_client();
-    client.send(get(id));
+    client.send(get_request(id));
     const auto answer = client.receive();
     ASSERT_TRUE(answer) << id;
     EXPECT_EQ(answer->result_int(), 200u) << id;
@@ -35,7 +35,7 @@
     const auto began = SteadyClock::now();
     std::optional<error_code> done;
     client.socket.async_wait(tcp::socket::wait_read, [&](error_code ec) { done = ec; });
-    EXPECT_TRUE(until(io, [&] { return done.has_value(); }));
+    EXPECT_TRUE(run_until(io, [&] { return done.has_value(); }));
     return std::chrono::duration<double>(SteadyClock::now() - began).count();
   }
   static std::string large_post(std::size_t size) {
@@ -45,7 +45,7 @@
   }
   // A request whose client waits for less than the latency objective of its class.
   static std::string with_timeout(const std::string& id, const std::string& timeout) {
-    std::string request = get(id);
+    std::string request = get_request(id);
     return request.replace(request.find("4000m"), 5, timeout);
   }
   // The timeout in microseconds that the endpoint received with that attempt.
@@ -53,7 +53,7 @@
     return std::stoll(std::string(server.requests.at(attempt)["X-Expires-In"]));
   }
   asio::io_context io;
-  FakeServer server{io};
+  FakeEndpoint server{io};
   FakeDiscovery discovery{io};
   std::uint16_t port = free_port(io);
   std::optional<Process> process;
@@ -66,10 +66,10 @@
   Client body = connect_client();
   Client fresh = connect_client();
   for (Client* c : {&head, &body}) {
-    c->send(get("complete"));
+    c->send(get_request("complete"));
     ASSERT_TRUE(c->receive());
   }
-  head.send(get("part").substr(0, 40));
+  head.send(get_request("part").substr(0, 40));
   body.send(large_post(200'000) + std::string(120'000, 'x'));
   fresh.send(large_post(200'000) + std::string(120'000, 'x'));
   const auto began = SteadyClock::now();
@@ -83,14 +83,14 @@
   start();
   Client head = connect_client();
   Client body = connect_client();
-  head.send(get("complete"));
+  head.send(get_request("complete"));
   ASSERT_TRUE(head.receive());
-  const std::string request = get("slow");
+  const std::string request = get_request("slow");
   head.send(request.substr(0, 30));
   body.send(large_post(160'000));
   // The rest of the head after 2 s, and 64 kB a second of the body.
   for (int i = 0; i < 20; ++i) {
-    wait(io, 100);
+    run_for(io, 100);
     body.send(std::string(6'400, 'x'));
   }
   head.send(request.substr(30));
@@ -98,7 +98,7 @@
   ASSERT_TRUE(first);
   EXPECT_EQ(first->result_int(), 200u);
   for (int i = 0; i < 5; ++i) {
-    wait(io, 100);
+    run_for(io, 100);
     body.send(std::string(6'400, 'x'));
   }
   const auto second = body.receive();
@@ -124,25 +124,25 @@
 TEST_F(FaultTest, AFailedAcceptDisconnectsNoOtherClient) {
   start("accept:23:3:200");
   Client idle = connect_client();
-  idle.send(get("a"));
+  idle.send(get_request("a"));
   ASSERT_TRUE(idle.receive());
-  wait(io, 250);
+  run_for(io, 250);
   expect_served("b");
-  idle.send(get("c"));
+  idle.send(get_request("c"));
   EXPECT_TRUE(idle.receive());
 }
 
 TEST_F(FaultTest, AWallClockStepIsLoggedAndMovesNoDeadline) {
   for (const char* step : {"wall:3600:200", "wall:-3600:200"}) {
     Process& gateway = start(step);
-    wait(io, 250);
+    run_for(io, 250);
     expect_served("a");
     EXPECT_NE(gateway.log_until("stepped").find("wall clock was stepped"), std::string::npos);
-    server.on_request = [](Peer&, const Request_&) {};
+    server.on_request = [](Peer&, const HttpRequest&) {};
     Client client = connect_client();
     client.send(with_timeout("b", "300m"));
     EXPECT_NEAR(seconds_until_response(client), 0.3, 0.1);
-    server.on_request = [](Peer& peer, const Request_&) { peer.write(reply("200 OK")); };
+    server.on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK")); };
     process.reset();
     port = free_port(io);
   }
@@ -154,7 +154,7 @@
   EXPECT_FALSE(predecessor_clock_offset(shared));
   tcp::acceptor platform(io, {asio::ip::address_v4::loopback(), 0});
   port = platform.local_endpoint().port();
-  Process before(config(port, server, discovery), platform.native_handle(), shared);
+  Process before(configuration_json(port, server, discovery), platform.native_handle(), shared);
   ASSERT_NE(before.log_until(": ready").find(": ready"), std::string::npos);
   const auto clock = predecessor_clock_offset(shared);
   ASSERT_TRUE(clock);
@@ -169,7 +169,7 @@
 TEST_F(FaultTest, ABacklogWithFailingAcceptsIsServedBeforeTheExit) {
   Process& gateway = start("accept:103:400");
   Client client = connect_client();
-  client.send(get("a"));
+  client.send(get_request("a"));
   gateway.terminate();
   const auto answer = client.receive();
   ASSERT_TRUE(answer);
@@ -188,19 +188,19 @@
 TEST_F(FaultTest, TheForwardedTimeoutCountsTheWaitBehindAPipelinedRequest) {
   start();
   std::shared_ptr<Peer> pending;
-  server.on_request = [&](Peer& peer, const Request_&) { pending = peer.shared_from_this(); };
+  server.on_request = [&](Peer& peer, const HttpRequest&) { pending = peer.shared_from_this(); };
   Client client = connect_client();
   client.send(with_timeout("first", "2000m") + with_timeout("second", "2000m"));
-  ASSERT_TRUE(until(io, [&] { return pending != nullptr; }));
-  wait(io, 1'000);
+  ASSERT_TRUE(run_until(io, [&] { return pending != nullptr; }));
+  run_for(io, 1'000);
   pending->write(reply("200 OK"));
-  ASSERT_TRUE(until(io, [&] { return server.requests.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return server.requests.size() == 2; }));
   EXPECT_LE(forwarded_timeout(1), 2'000'000 - 1'000'000 + 150'000);
 }
 
 TEST_F(FaultTest, ALocalConnectFailureIsRetriedAndNotCountedAgainstTheEndpoint) {
   start("connect:99:8:100 socket:23:2:100");  // discovery's watch is up by then
-  wait(io, 150);
+  run_for(io, 150);
   for (int i = 0; i < 3; ++i) expect_served("t" + std::to_string(i));
 }
 
@@ -220,7 +220,8 @@
     std::filesystem::remove_all(shared, ignored);
   }
   std::string with_admin(std::uint16_t at) {
-    return config(port, server, discovery, R"("admin_addr":"127.0.0.1:)" + std::to_string(at) + "\",");
+    return configuration_json(port, server, discovery,
+                              R"("admin_addr":"127.0.0.1:)" + std::to_string(at) + "\",");
   }
   int call(std::uint16_t at, const std::string& line) {
     Client operator_client(io, {asio::ip::address_v4::loopback(), at});
@@ -270,7 +271,7 @@
     port = platform.local_endpoint().port();
     process.emplace(with_admin(admin), platform.native_handle(), shared, old_faults);
     ASSERT_NE(process->log_until(": ready").find(": ready"), std::string::npos);
-    wait(io, 350);
+    run_for(io, 350);
     after.emplace(with_admin(admin_after), platform.native_handle(), shared, new_faults);
     const std::string log = after->log_until(": ready");
     EXPECT_EQ(log.find("does not answer"), std::string::npos) << log;
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -33,8 +33,8 @@
  public:
   explicit Soak(unsigned seed) : random_(seed), crowded_(seed % 3 == 0) {
     for (int i = 0; i < 5; ++i) {
-      servers_.push_back(std::make_unique<FakeServer>(io_));
-      servers_.back()->on_request = [this, i](Peer& p, const Request_& r) { serve(i, p, r); };
+      servers_.push_back(std::make_unique<FakeEndpoint>(io_));
+      servers_.back()->on_request = [this, i](Peer& p, const HttpRequest& r) { serve(i, p, r); };
     }
     discoveries_.emplace_back(io_);
     discoveries_.emplace_back(io_);
@@ -55,7 +55,7 @@
     for (int i = 0; i < 8; ++i) after(milliseconds(pick(300, 6'500)), [this] { suspend(); });
     after(kServiceTime, [this] { terminate(); });
     const auto end = SteadyClock::now() + kServiceTime + kEarliestKill;
-    until(io_, [&] { return SteadyClock::now() >= end; });
+    run_until(io_, [&] { return SteadyClock::now() >= end; });
     process_->kill();
     EXPECT_GT(responses_, 50);
     std::string list;
@@ -97,9 +97,9 @@
   std::string settings(std::size_t discovery) {
     std::string members;
     for (std::size_t i = 0; i < servers_.size(); ++i)
-      members += (i ? "," : "") + entry("s" + std::to_string(i), servers_[i]->text());
-    auto json = nlohmann::json::parse(config(port_, *servers_[0], discoveries_[discovery]));
-    json["known"] = nlohmann::json::parse(list(41, true, members));
+      members += (i ? "," : "") + endpoint_json("s" + std::to_string(i), servers_[i]->address_text());
+    auto json = nlohmann::json::parse(configuration_json(port_, *servers_[0], discoveries_[discovery]));
+    json["known"] = nlohmann::json::parse(update_json(41, true, members));
     json["limits"]["sockets"] = crowded_ ? 128 : 1024;
     json["settings"]["TiersOfService"][0]["QuotaRate"] = json["settings"]["TiersOfService"][0]["Depth"] = 1e6;
     json["settings"]["Obligations"]["StopSendingWithinUs"] = 250'000;
@@ -110,20 +110,21 @@
   void drain(int server) {
     drained_[server] = SteadyClock::now();
     const std::string change =
-        list(42 + server, false,
-             entry("s" + std::to_string(server), servers_[std::size_t(server)]->text(), "draining"));
+        update_json(42 + server, false,
+                    endpoint_json("s" + std::to_string(server), servers_[std::size_t(server)]->address_text(),
+                                  "draining"));
     for (FakeDiscovery& d : discoveries_) {
-      d.first = change;  // for new watches
+      d.first_update = change;  // for new watches
       for (auto& peer : d.peers)
-        if (!peer->over) peer->write(FakeDiscovery::chunk(change));
+        if (!peer->closed) peer->write(FakeDiscovery::chunk(change));
     }
   }
   // Suspends the program, as a machine short of processor time does.
   void suspend() {
     if (std::exchange(suspended_, true)) return;
-    process_->stop();
+    process_->suspend();
     after(milliseconds(pick(50, 150)), [this] {
-      process_->go_on();
+      process_->resume();
       suspended_ = false;
     });
   }
@@ -134,7 +135,7 @@
     process_->terminate();
   }
 
-  void serve(int server, Peer& peer, const Request_& request) {
+  void serve(int server, Peer& peer, const HttpRequest& request) {
     const auto now = SteadyClock::now();
     const std::string id(request["X-Trace-Id"]);
     const SentRequest& sent = requests_[id];
@@ -147,7 +148,7 @@
     if (const auto at = drained_.find(server); at != drained_.end())
       expect_within(now - at->second, kDrainGrace, "sent to a draining server " + id);
     const auto respond = [this, self = peer.shared_from_this()](const std::string& text) {
-      if (!self->over) self->write(text);
+      if (!self->closed) self->write(text);
     };
     const int kind = pick(0, 99);
     if (kind < 4 || (terminated_ && kind < 30)) return;  // hangs
@@ -170,7 +171,7 @@
     SentRequest& sent = requests_[id];
     sent.timeout = milliseconds(pick(2, 20) * 100);
     sent.sent_at = SteadyClock::now();
-    std::string text = get(id);
+    std::string text = get_request(id);
     text.replace(text.find("4000m"), 5, std::to_string(sent.timeout.count()) + "m");
     const int kind = pick(0, 99);
     const bool stalls = kind < 4, disconnects = !stalls && kind < 12;
@@ -217,7 +218,7 @@
   const bool crowded_;
   std::string faults_;
   const std::uint16_t port_ = free_port(io_);
-  std::vector<std::unique_ptr<FakeServer>> servers_;
+  std::vector<std::unique_ptr<FakeEndpoint>> servers_;
   std::deque<FakeDiscovery> discoveries_;
   std::optional<Process> process_;
   std::map<std::string, SentRequest> requests_;
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -25,25 +25,25 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 using boost::system::error_code;
-using Request_ = http::request<http::string_body>;
+using HttpRequest = http::request<http::string_body>;
 
 // A clock that a test moves on, or stops; timers run by it, each at its own pace after that.
 class TestClock : public Clock {
  public:
-  Micros now() const override { return stopped_ ? *stopped_ : Clock::now() + moved_; }
-  Micros wall_now() const override { return now() + stepped_; }
+  TimePoint now() const override { return stopped_ ? *stopped_ : Clock::now() + moved_; }
+  TimePoint wall_now() const override { return now() + stepped_; }
   // Steps the wall clock.
-  void step(Micros by) { stepped_ += by; }
-  void move(Micros by) { stopped_ ? * stopped_ += by : moved_ += by; }
+  void step_wall_clock(Duration by) { stepped_ += by; }
+  void advance(Duration by) { stopped_ ? * stopped_ += by : moved_ += by; }
   void stop() { stopped_ = now(); }
 
  private:
-  Micros moved_ = 0, stepped_ = 0;
-  std::optional<Micros> stopped_;
+  Duration moved_ = 0, stepped_ = 0;
+  std::optional<Duration> stopped_;
 };
 
 // Runs the loop until `done`, or fails the test after a time that no healthy run comes near.
-inline bool until(asio::io_context& io, const std::function<bool()>& done) {
+inline bool run_until(asio::io_context& io, const std::function<bool()>& done) {
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!done()) {
     if (std::chrono::steady_clock::now() > end) return false;
@@ -53,11 +53,11 @@
   return true;
 }
 
-inline void wait(asio::io_context& io, int ms) {
-  bool over = false;
-  asio::steady_timer timer(io, std::chrono::milliseconds(ms));
-  timer.async_wait([&](error_code) { over = true; });
-  until(io, [&] { return over; });
+inline void run_for(asio::io_context& io, int milliseconds) {
+  bool elapsed = false;
+  asio::steady_timer timer(io, std::chrono::milliseconds(milliseconds));
+  timer.async_wait([&](error_code) { elapsed = true; });
+  run_until(io, [&] { return elapsed; });
 }
 
 inline std::string reply(const std::string& status, const std::string& headers = "",
@@ -69,17 +69,17 @@
 // A connection that something accepted; bytes in, whatever the owner makes of them.
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
-  Peer(tcp::socket s, std::function<void(Peer&, std::string&)> took)
-      : socket(std::move(s)), took_(std::move(took)) {}
+  Peer(tcp::socket s, std::function<void(Peer&, std::string&)> on_data)
+      : socket(std::move(s)), on_data_(std::move(on_data)) {}
   void read() {
     socket.async_read_some(asio::buffer(chunk_),
                            [this, self = shared_from_this()](error_code ec, std::size_t n) {
                              if (ec) {
-                               over = true;
+                               closed = true;
                                return;
                              }
                              pending.append(chunk_.data(), n);
-                             took_(*this, pending);
+                             on_data_(*this, pending);
                              if (socket.is_open()) read();
                            });
   }
@@ -90,7 +90,7 @@
   void close() {
     error_code ignored;
     socket.close(ignored);
-    over = true;
+    closed = true;
   }
   void reset() {
     socket.set_option(asio::socket_base::linger(true, 0));
@@ -98,23 +98,23 @@
   }
   tcp::socket socket;
   std::string pending;
-  bool over = false;
+  bool closed = false;
   int requests = 0;
 
  private:
-  std::function<void(Peer&, std::string&)> took_;
+  std::function<void(Peer&, std::string&)> on_data_;
   std::array<char, 16384> chunk_;
 };
 
-class Listener {
+class LoopbackServer {
  public:
-  explicit Listener(asio::io_context& io, tcp::endpoint at = {asio::ip::address_v4::loopback(), 0})
+  explicit LoopbackServer(asio::io_context& io, tcp::endpoint at = {asio::ip::address_v4::loopback(), 0})
       : acceptor(io, at) {
     accept();
   }
-  virtual ~Listener() = default;
+  virtual ~LoopbackServer() = default;
   tcp::endpoint address() const { return acceptor.local_endpoint(); }
-  std::string text() const { return "127.0.0.1:" + std::to_string(address().port()); }
+  std::string address_text() const { return "127.0.0.1:" + std::to_string(address().port()); }
   void stop() {
     for (auto& p : peers) p->reset();
     acceptor.close();
@@ -123,14 +123,14 @@
   std::vector<std::shared_ptr<Peer>> peers;
 
  protected:
-  virtual void took(Peer& peer, std::string& pending) = 0;
+  virtual void on_data(Peer& peer, std::string& pending) = 0;
 
  private:
   void accept() {
     acceptor.async_accept([this](error_code ec, tcp::socket socket) {
       if (ec) return;
       peers.push_back(
-          std::make_shared<Peer>(std::move(socket), [this](Peer& p, std::string& in) { took(p, in); }));
+          std::make_shared<Peer>(std::move(socket), [this](Peer& p, std::string& in) { on_data(p, in); }));
       peers.back()->read();
       accept();
     });
@@ -138,16 +138,16 @@
 };
 
 // Whole requests come to `on_request`; by default it is served its own target.
-class FakeServer : public Listener {
+class FakeEndpoint : public LoopbackServer {
  public:
-  using Listener::Listener;
-  std::function<void(Peer&, const Request_&)> on_request = [](Peer& p, const Request_& r) {
+  using LoopbackServer::LoopbackServer;
+  std::function<void(Peer&, const HttpRequest&)> on_request = [](Peer& p, const HttpRequest& r) {
     p.write(reply("200 OK", "", std::string(r.target())));
   };
-  std::vector<Request_> requests;
+  std::vector<HttpRequest> requests;
 
  protected:
-  void took(Peer& peer, std::string& pending) override {
+  void on_data(Peer& peer, std::string& pending) override {
     while (!pending.empty()) {
       http::request_parser<http::string_body> parser;
       parser.eager(true);
@@ -157,16 +157,16 @@
       pending.erase(0, used);
       ++peer.requests;
       requests.push_back(parser.release());
-      on_request(peer, Request_(requests.back()));
+      on_request(peer, HttpRequest(requests.back()));
     }
   }
 };
 
 // Adds up what is added, unless told otherwise.
-class FakeCounter : public Listener {
+class FakeCounter : public LoopbackServer {
  public:
   explicit FakeCounter(asio::io_context& io, tcp::endpoint at = {asio::ip::address_v4::loopback(), 0})
-      : Listener(io, at) {}
+      : LoopbackServer(io, at) {}
   bool silent = false;
   std::optional<std::string> answer;  // raw, in place of the total
   std::vector<std::vector<std::string>> calls;
@@ -174,7 +174,7 @@
   std::shared_ptr<Peer> last;
 
  protected:
-  void took(Peer& peer, std::string& pending) override {
+  void on_data(Peer& peer, std::string& pending) override {
     last = peer.shared_from_this();
     auto& reader = readers_[&peer];
     if (!reader) reader.reset(redisReaderCreate(), redisReaderFree);
@@ -202,17 +202,17 @@
 };
 
 // Answers a watch with its header and the lines that it is given.
-class FakeDiscovery : public Listener {
+class FakeDiscovery : public LoopbackServer {
  public:
   explicit FakeDiscovery(asio::io_context& io, tcp::endpoint at = {asio::ip::address_v4::loopback(), 0})
-      : Listener(io, at) {}
-  std::vector<std::string> asked;   // targets
-  std::string first = "\n";         // what a watch begins with
-  std::deque<std::string> instead;  // raw, the answers to the next calls
+      : LoopbackServer(io, at) {}
+  std::vector<std::string> requested_targets;  // targets
+  std::string first_update = "\n";             // what a watch begins with
+  std::deque<std::string> scripted_responses;  // raw, the answers to the next calls
   static constexpr const char* kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  bool mute = false;
-  void raw(const std::string& bytes) { peers.back()->write(bytes); }
-  void tell(const std::string& text) { raw(chunk(text)); }
+  bool silent = false;
+  void write_raw(const std::string& bytes) { peers.back()->write(bytes); }
+  void send_update(const std::string& text) { write_raw(chunk(text)); }
   static std::string chunk(const std::string& text) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
@@ -220,14 +220,14 @@
   }
 
  protected:
-  void took(Peer& peer, std::string& pending) override {
+  void on_data(Peer& peer, std::string& pending) override {
     if (pending.find("\r\n\r\n") == std::string::npos) return;
-    asked.push_back(pending.substr(4, pending.find(" HTTP/") - 4));
+    requested_targets.push_back(pending.substr(4, pending.find(" HTTP/") - 4));
     pending.clear();
-    if (mute) return;
-    if (instead.empty()) return peer.write(kHead + chunk(first));
-    peer.write(instead.front());
-    instead.pop_front();
+    if (silent) return;
+    if (scripted_responses.empty()) return peer.write(kHead + chunk(first_update));
+    peer.write(scripted_responses.front());
+    scripted_responses.pop_front();
   }
 };
 
@@ -244,15 +244,15 @@
     std::optional<error_code> done;
     http::response<http::string_body> out;
     http::async_read(socket, buffer_, out, [&](error_code ec, std::size_t) { done = ec; });
-    if (!until(io_, [&] { return done.has_value(); })) ADD_FAILURE() << "no answer";
+    if (!run_until(io_, [&] { return done.has_value(); })) ADD_FAILURE() << "no answer";
     if (!done || *done) return std::nullopt;
     return out;
   }
-  bool ended() {
+  bool closed_by_peer() {
     std::optional<error_code> done;
     char byte;
     socket.async_read_some(asio::buffer(&byte, 1), [&](error_code ec, std::size_t) { done = ec; });
-    return until(io_, [&] { return done.has_value(); }) && done->failed();
+    return run_until(io_, [&] { return done.has_value(); }) && done->failed();
   }
 
  private:
@@ -263,18 +263,19 @@
   tcp::socket socket;
 };
 
-inline std::string get(const std::string& id, const std::string& more = "") {
+inline std::string get_request(const std::string& id, const std::string& more = "") {
   return "GET /profile-read/00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " + id +
          "\r\nPlan: plan-group\r\nX-Expires-In: 4000m\r\nQuota-Info: units=1,spread=3,first=0\r\n" + more +
          "\r\n";
 }
-inline std::string post(const std::string& id, const std::string& expires = "4000m") {
+inline std::string post_request(const std::string& id, const std::string& expires = "4000m") {
   return "POST /intro-request/00000000b4d65521?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " + id +
          "\r\nPlan: plan-group\r\nX-Expires-In: " + expires + "\r\nIdempotency-Key: k-" + id +
          "\r\nContent-Length: 5\r\nQuota-Info: units=1,spread=3,first=0\r\n\r\nhello";
 }
 
-inline DiscoveredEndpoint member(const std::string& id, const Listener& at, std::int64_t cell = 0) {
+inline DiscoveredEndpoint discovered_endpoint(const std::string& id, const LoopbackServer& at,
+                                              std::int64_t cell = 0) {
   DiscoveredEndpoint m;
   m.entry.endpoint = id;
   m.entry.zone = "a";
@@ -282,13 +283,13 @@
   m.address = at.address();
   return m;
 }
-inline std::string entry(const std::string& id, const std::string& at, const std::string& phase = "up",
-                         std::int64_t since = 0) {
+inline std::string endpoint_json(const std::string& id, const std::string& at,
+                                 const std::string& phase = "up", std::int64_t since = 0) {
   return R"({"id":")" + id + R"(","host_port":")" + at +
          R"(","locality":"a","flavor":"m","cell":1,"phase":")" + phase + R"(","size":1.0,"up_since_ms":)" +
          std::to_string(since) + "}";
 }
-inline std::string list(std::int64_t revision, bool complete, const std::string& entries) {
+inline std::string update_json(std::int64_t revision, bool complete, const std::string& entries) {
   return R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" + (complete ? "true" : "false") +
          R"(,"members":[)" + entries + "]}\n";
 }
@@ -325,10 +326,10 @@
     config.initial_endpoints.complete = true;
     config.initial_endpoints.revision = 41;
   }
-  void know(const DiscoveredEndpoint& m) { config.initial_endpoints.endpoints.push_back(m); }
+  void add_endpoint(const DiscoveredEndpoint& m) { config.initial_endpoints.endpoints.push_back(m); }
   Coordinator& start() { return coordinator.emplace(io, config, clock); }
   Client client() { return {io, coordinator->address()}; }
-  bool until(const std::function<bool()>& done) { return testing::until(io, done); }
+  bool run_until(const std::function<bool()>& done) { return testing::run_until(io, done); }
 
   asio::io_context io;
   TestClock clock;
--- a/tests/support/process.hpp
+++ b/tests/support/process.hpp
@@ -79,11 +79,11 @@
   }
   void terminate() { ::kill(pid_, SIGTERM); }
   // Holds the process up, as a machine does that is short of processor time.
-  void stop() {
+  void suspend() {
     ::kill(pid_, SIGSTOP);
     ::waitpid(pid_, nullptr, WUNTRACED);
   }
-  void go_on() { ::kill(pid_, SIGCONT); }
+  void resume() { ::kill(pid_, SIGCONT); }
   // Seconds of processor time that it has used.
   double cpu_seconds() const {
     std::ifstream stat("/proc/" + std::to_string(pid_) + "/stat");
@@ -95,7 +95,7 @@
     return ticks / double(::sysconf(_SC_CLK_TCK));
   }
   // Kilobytes of memory that it holds.
-  long resident() const {
+  long resident_kilobytes() const {
     std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
     for (std::string line; std::getline(status, line);)
       if (line.starts_with("VmRSS:")) return std::stol(line.substr(6));
@@ -128,13 +128,13 @@
   return tcp::acceptor(io, {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
 }
 
-inline std::string config(std::uint16_t port, const Listener& server, const Listener& discovery,
-                          const std::string& more = "") {
+inline std::string configuration_json(std::uint16_t port, const LoopbackServer& server,
+                                      const LoopbackServer& discovery, const std::string& more = "") {
   return R"({"name":"n0",)" + more + R"("listen":"127.0.0.1:)" + std::to_string(port) + R"(","discovery":")" +
-         discovery.text() +
+         discovery.address_text() +
          R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
     "known":)" +
-         list(41, true, entry("s1", server.text())) + R"(,
+         update_json(41, true, endpoint_json("s1", server.address_text())) + R"(,
     "settings":{"Az":"a","ReplicasOfMe":1,"Position":0,"Classes":[{"Name":"profile-read","Repeat":"safe",
       "ObjectiveUs":3000000,"GiveUpUs":4000000,"Importance":1.0}],
       "TiersOfService":[{"Name":"plan-group","QuotaRate":9,"Depth":9}],"Limits":{"MaxAttempts":4}}})";
--- a/tests/upstream/attempt_outcome_test.cpp
+++ b/tests/upstream/attempt_outcome_test.cpp
@@ -72,14 +72,14 @@
 }
 
 TEST_F(UpstreamTest, CancelClosesTheConnectionAndReportsWhetherItMayHaveExecuted) {
-  endpoint.on_request = [](Peer&, const Request_&) {};
+  endpoint.on_request = [](Peer&, const HttpRequest&) {};
   create_upstream();
   send(1);
   EXPECT_FALSE(upstream->cancel({1, 0}));  // still connecting
   send(2);
-  ASSERT_TRUE(until(io, [&] { return !endpoint.requests.empty(); }));
+  ASSERT_TRUE(run_until(io, [&] { return !endpoint.requests.empty(); }));
   EXPECT_TRUE(upstream->cancel({2, 0}));
-  ASSERT_TRUE(until(io, [&] { return endpoint.peers.back()->over; }));
+  ASSERT_TRUE(run_until(io, [&] { return endpoint.peers.back()->closed; }));
   EXPECT_TRUE(results.empty());  // a cancelled attempt reports no result
 }
 
@@ -96,7 +96,7 @@
   endpoint_update.endpoints[0].address = acceptor.local_endpoint();
   upstream->update_endpoints(endpoint_update);
   send(1);
-  ASSERT_TRUE(until(io, [&] { return is_body_requested && peer.is_open(); }));
+  ASSERT_TRUE(run_until(io, [&] { return is_body_requested && peer.is_open(); }));
   while (io.poll() > 0) io.restart();
   io.restart();
   peer.shutdown(tcp::socket::shutdown_send);
@@ -104,7 +104,7 @@
     request.upload->append("0123456789");
     request.upload->finish();
   });
-  ASSERT_TRUE(until(io, [&] { return results.size() == 1; }));
+  ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kReset);
   EXPECT_EQ(written_attempts, 1);
 }
@@ -118,7 +118,7 @@
   endpoint_update.endpoints[0].address = acceptor.local_endpoint();
   upstream->update_endpoints(endpoint_update);
   send(1);
-  ASSERT_TRUE(until(io, [&] { return peer.is_open() && peer.available() > 0; }));
+  ASSERT_TRUE(run_until(io, [&] { return peer.is_open() && peer.available() > 0; }));
   EXPECT_FALSE(upstream->cancel({1, 0}));
 }
 
--- a/tests/upstream/connection_pool_test.cpp
+++ b/tests/upstream/connection_pool_test.cpp
@@ -8,14 +8,14 @@
   create_upstream();
   for (int i = 1; i <= 5; ++i) {
     EXPECT_EQ(send_and_wait(std::uint64_t(i)).outcome, Outcome::kOk);
-    clock.move(20'000);  // until a duplicate response would have arrived
+    clock.advance(20'000);  // until a duplicate response would have arrived
   }
   EXPECT_EQ(endpoint.peers.size(), 1u);
 }
 
 TEST_F(UpstreamTest, DuplicateResponseIsNotReturnedForTheNextRequest) {
   // The connection is not reused at once, or one client would be served the response to another.
-  endpoint.on_request = [&](Peer& peer, const Request_& received) {
+  endpoint.on_request = [&](Peer& peer, const HttpRequest& received) {
     if (endpoint.requests.size() == 2) {
       endpoint.peers[0]->write(reply("200 OK", "", "duplicate"));
       if (&peer == endpoint.peers[0].get()) return;
@@ -27,7 +27,7 @@
   ASSERT_EQ(send_and_wait(1).body, "t1");
   request.trace_id = "t2";
   EXPECT_EQ(send_and_wait(2).body, "t2");
-  EXPECT_TRUE(until(io, [&] { return endpoint.peers[0]->over; }));
+  EXPECT_TRUE(run_until(io, [&] { return endpoint.peers[0]->closed; }));
 }
 
 TEST_F(UpstreamTest, ConnectionClosedByTheEndpointIsNotReused) {
@@ -44,11 +44,11 @@
 TEST_F(UpstreamTest, IdleConnectionIsClosedBeforeTheEndpointsIdleTimeout) {
   create_upstream({.idle_timeout = 500'000, .max_connections = 10});
   ASSERT_EQ(send_and_wait(1).outcome, Outcome::kOk);
-  EXPECT_TRUE(until(io, [&] { return endpoint.peers[0]->over; }));
+  EXPECT_TRUE(run_until(io, [&] { return endpoint.peers[0]->closed; }));
 }
 
 TEST_F(UpstreamTest, ConnectionCloseHeaderPreventsReuse) {
-  endpoint.on_request = [](Peer& peer, const Request_&) {
+  endpoint.on_request = [](Peer& peer, const HttpRequest&) {
     peer.write(reply("200 OK", "Connection: close\r\n", "x"));
   };
   create_upstream();
@@ -64,17 +64,17 @@
   endpoint_update.complete = false;
   endpoint_update.endpoints[0].entry.state = EndpointState::kDraining;
   upstream->update_endpoints(endpoint_update);
-  ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
+  ASSERT_TRUE(run_until(io, [&] { return !results.empty(); }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
-  ASSERT_TRUE(until(io, [&] { return endpoint.peers.empty() || endpoint.peers[0]->over; }));
+  ASSERT_TRUE(run_until(io, [&] { return endpoint.peers.empty() || endpoint.peers[0]->closed; }));
   EXPECT_TRUE(endpoint.requests.empty());
 }
 
 TEST_F(UpstreamTest, ExpiryHeaderHasTheTimeLeftOnceConnected) {
   create_upstream({.connect_timeout = 10'000'000, .max_connections = 10});
   send(1);  // with 10 s until the deadline
-  clock.move(6'000'000);
-  ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
+  clock.advance(6'000'000);
+  ASSERT_TRUE(run_until(io, [&] { return !results.empty(); }));
   const std::string time_left(endpoint.requests.at(0)["X-Expires-In"]);
   EXPECT_LE(std::stoll(time_left), 4'000'000);
   EXPECT_GT(std::stoll(time_left), 3'000'000);
@@ -83,20 +83,20 @@
 TEST_F(UpstreamTest, NothingIsSentIfTheDeadlinePassesDuringTheConnect) {
   create_upstream({.connect_timeout = 20'000'000, .max_connections = 10});
   send(1);
-  clock.move(10'000'001);
-  ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
+  clock.advance(10'000'001);
+  ASSERT_TRUE(run_until(io, [&] { return !results.empty(); }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
   EXPECT_TRUE(endpoint.requests.empty());
 }
 
 TEST_F(UpstreamTest, NothingIsSentToAnEndpointMovedDuringTheConnect) {
-  FakeServer other(io);
+  FakeEndpoint other(io);
   create_upstream();
   send(1);
   endpoint_update.complete = false;
   endpoint_update.endpoints[0].address = other.address();
   upstream->update_endpoints(endpoint_update);
-  ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
+  ASSERT_TRUE(run_until(io, [&] { return !results.empty(); }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
   EXPECT_TRUE(endpoint.requests.empty());
 }
@@ -107,13 +107,13 @@
   upstream->update_endpoints(endpoint_update);
   EXPECT_EQ(send_and_wait(1).outcome, Outcome::kNotSent);
   upstream->send({2, 0}, "unknown", request, clock.now() + 1'000'000);
-  ASSERT_TRUE(until(io, [&] { return results.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return results.size() == 2; }));
   EXPECT_EQ(results[1].second.outcome, Outcome::kNotSent);
 }
 
 TEST_F(UpstreamTest, RestartedOrMovedEndpointGetsNewConnections) {
   // Connections to a machine that has vanished stay open and silent.
-  FakeServer moved(io);
+  FakeEndpoint moved(io);
   create_upstream();
   ASSERT_EQ(send_and_wait(1).outcome, Outcome::kOk);
   endpoint_update.endpoints[0].entry.started_at = clock.now();
@@ -134,18 +134,18 @@
   endpoint_update.endpoints[0].entry.state = EndpointState::kRemoved;
   upstream->update_endpoints(endpoint_update);
   EXPECT_FALSE(upstream->is_known("s"));
-  EXPECT_TRUE(until(io, [&] { return endpoint.peers[0]->over; }));
+  EXPECT_TRUE(run_until(io, [&] { return endpoint.peers[0]->closed; }));
   endpoint_update.complete = true;
-  endpoint_update.endpoints = {member("a", endpoint), member("b", endpoint)};
+  endpoint_update.endpoints = {discovered_endpoint("a", endpoint), discovered_endpoint("b", endpoint)};
   upstream->update_endpoints(endpoint_update);
-  endpoint_update.endpoints = {member("b", endpoint)};
+  endpoint_update.endpoints = {discovered_endpoint("b", endpoint)};
   upstream->update_endpoints(endpoint_update);
   EXPECT_FALSE(upstream->is_known("a"));
   EXPECT_TRUE(upstream->is_known("b"));
 }
 
 TEST_F(UpstreamTest, NumberOfConnectionsIsLimited) {
-  endpoint.on_request = [](Peer&, const Request_&) {};
+  endpoint.on_request = [](Peer&, const HttpRequest&) {};
   create_upstream({.max_connections = 2});
   send(1);
   send(2);
--- a/tests/upstream/response_body_test.cpp
+++ b/tests/upstream/response_body_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST_F(UpstreamTest, SuccessfulResponseReturnsBodyAndLoadReport) {
-  endpoint.on_request = [](Peer& peer, const Request_&) {
+  endpoint.on_request = [](Peer& peer, const HttpRequest&) {
     peer.write(
         reply("200 OK", "Endpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61, odd=x\r\n", "body"));
   };
@@ -29,7 +29,7 @@
   const std::map<std::string, double> units_by_header = {{"3", 3},  {"2.5", 2.5}, {"", 0},
                                                          {"-1", 0}, {"inf", 0},   {"3 x", 0}};
   std::string header;
-  endpoint.on_request = [&](Peer& peer, const Request_&) {
+  endpoint.on_request = [&](Peer& peer, const HttpRequest&) {
     peer.write(reply("200 OK", "Billed-Units: " + header + "\r\n"));
   };
   create_upstream();
@@ -48,7 +48,7 @@
       SCOPED_TRACE(::testing::Message() << body.size() << (is_orderly ? " closed" : " reset"));
       std::shared_ptr<Peer> peer;
       bool is_sent = false;
-      endpoint.on_request = [&](Peer& accepted, const Request_&) {
+      endpoint.on_request = [&](Peer& accepted, const HttpRequest&) {
         peer = accepted.shared_from_this();
         asio::async_write(peer->socket, asio::buffer(head), [&](error_code, std::size_t) {
           asio::async_write(peer->socket, asio::buffer(body),
@@ -59,16 +59,16 @@
       create_upstream();
       send(1);
       // All of it has been read before the connection is closed.
-      ASSERT_TRUE(
-          until(io, [&] { return is_sent && (body.size() < kBufferedBodyLimit || streamed_body == body); }));
-      wait(io, 1);
+      ASSERT_TRUE(run_until(
+          io, [&] { return is_sent && (body.size() < kBufferedBodyLimit || streamed_body == body); }));
+      run_for(io, 1);
       const auto before = results.size();
       if (is_orderly) {
         peer->close();
       } else {
         peer->reset();
       }
-      ASSERT_TRUE(until(io, [&] { return results.size() > before; }));
+      ASSERT_TRUE(run_until(io, [&] { return results.size() > before; }));
       EXPECT_EQ(results.back().second.outcome, is_orderly ? Outcome::kOk : Outcome::kReset);
       EXPECT_EQ(results.back().second.body, is_orderly && body.size() < kBufferedBodyLimit ? body : "");
     }
@@ -90,10 +90,10 @@
   endpoint_update.endpoints[0].address = acceptor.local_endpoint();
   upstream->update_endpoints(endpoint_update);
   send(1);
-  ASSERT_TRUE(until(io, [&] { return is_body_requested && peer.is_open(); }));
+  ASSERT_TRUE(run_until(io, [&] { return is_body_requested && peer.is_open(); }));
   acceptor.async_accept(other, [](error_code) {});
   trigger.connect(acceptor.local_endpoint());
-  ASSERT_TRUE(until(io, [&] { return other.is_open(); }));
+  ASSERT_TRUE(run_until(io, [&] { return other.is_open(); }));
   asio::write(peer, asio::buffer(std::string_view("HTTP/1.1 200 OK\r\n\r\nhalf")));
   trigger.async_wait(tcp::socket::wait_read, [&](error_code) { request.upload->append("0123456789"); });
   while (io.poll() > 0) io.restart();
@@ -101,7 +101,7 @@
   asio::write(other, asio::buffer(std::string_view("x")));
   peer.set_option(asio::socket_base::linger(true, 0));
   peer.close();
-  ASSERT_TRUE(until(io, [&] { return results.size() == 1; }));
+  ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kConnectFailed);
   EXPECT_EQ(results[0].second.body, "");
 }
@@ -119,7 +119,7 @@
 }
 
 TEST_F(UpstreamTest, LargeResponseIsReadAsFastAsTheClientReceivesIt) {
-  endpoint.on_request = [](Peer& peer, const Request_&) {
+  endpoint.on_request = [](Peer& peer, const HttpRequest&) {
     const auto all =
         std::make_shared<std::string>(reply("200 OK", "Billed-Units: 3\r\n", std::string(900'000, 'x')));
     asio::async_write(peer.socket, asio::buffer(*all),
@@ -128,7 +128,7 @@
   client_receives = false;
   create_upstream();
   send(1);
-  ASSERT_TRUE(until(io, [&] { return !streamed_body.empty(); }));
+  ASSERT_TRUE(run_until(io, [&] { return !streamed_body.empty(); }));
   const auto first_chunk_size = streamed_body.size();
   EXPECT_LE(first_chunk_size, kReadSize);
   EXPECT_EQ(started_lengths, std::vector<std::optional<std::uint64_t>>{900'000});
@@ -137,7 +137,7 @@
   EXPECT_EQ(streamed_body.size(), first_chunk_size);  // nothing more is read
   client_receives = true;
   upstream->request_more({1, 0});
-  ASSERT_TRUE(until(io, [&] { return results.size() == 1; }));
+  ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
   EXPECT_EQ(streamed_body.size(), 900'000u);
   EXPECT_EQ(results[0].second.outcome, Outcome::kOk);
   EXPECT_EQ(written_attempts, 1);
@@ -145,7 +145,7 @@
 
 TEST_F(UpstreamTest, BuffersUnderPressureLowerTheStreamingThreshold) {
   BodyBudget::Share other(budget);
-  endpoint.on_request = [](Peer& peer, const Request_&) {
+  endpoint.on_request = [](Peer& peer, const HttpRequest&) {
     peer.write(reply("200 OK", "", std::string(50'000, 'x')));
   };
   create_upstream();
--- a/tests/upstream/upstream_fixture.hpp
+++ b/tests/upstream/upstream_fixture.hpp
@@ -20,7 +20,7 @@
   void create_upstream(UpstreamLimits limits = {}) {
     upstream.emplace(io, timers, clock, limits, budget, callbacks());
     endpoint_update.complete = true;
-    endpoint_update.endpoints = {member("s", endpoint)};
+    endpoint_update.endpoints = {discovered_endpoint("s", endpoint)};
     upstream->update_endpoints(endpoint_update);
   }
 
@@ -33,13 +33,13 @@
   AttemptResult send_and_wait(std::uint64_t request_id) {
     send(request_id);
     const auto expected_results = results.size() + 1;
-    EXPECT_TRUE(until(io, [&] { return results.size() == expected_results; }));
+    EXPECT_TRUE(run_until(io, [&] { return results.size() == expected_results; }));
     return results.empty() ? AttemptResult{} : results.back().second;
   }
 
   // The outcome of an attempt to which the endpoint replies with these bytes.
   Outcome outcome_of(const std::string& response, bool close = false) {
-    endpoint.on_request = [=](Peer& peer, const Request_&) {
+    endpoint.on_request = [=](Peer& peer, const HttpRequest&) {
       peer.write(response);
       if (close) peer.close();
     };
@@ -53,7 +53,7 @@
   asio::io_context io;
   TestClock clock;
   Timers timers{io, clock};
-  FakeServer endpoint{io};
+  FakeEndpoint endpoint{io};
   std::vector<std::pair<AttemptKey, AttemptResult>> results;
   BodyBudget budget{1 << 20};
   int written_attempts = 0;     // whose last byte was written
