--- a/src/network/stream_io.hpp
+++ b/src/network/stream_io.hpp
@@ -31,12 +31,13 @@
   return size;
 }
 
-// Writes all of `bytes`, which stay the caller's, to a non-blocking socket and then calls `done(error,
-// size)`, never from within this call. Danger: asio's own async_write takes a short write for a full kernel
-// buffer and waits for an edge that never comes if the buffer had room; a wait here looks at the present
-// state.
-template <typename Current, typename Done>
-void write_all(boost::asio::ip::tcp::socket& socket, std::string_view bytes, Current current, Done done,
+// Writes all of `bytes`, which the caller keeps alive, to a non-blocking socket, and then calls `done(error,
+// size)`, never from within this call. Stops without a call once `is_current` returns false.
+//
+// Asio's own async_write waits for an edge after a short write. The edge never comes if the kernel's buffer
+// was not full, as after an interrupted call. A wait for writability checks the present state instead.
+template <typename IsCurrent, typename Done>
+void write_all(boost::asio::ip::tcp::socket& socket, std::string_view bytes, IsCurrent is_current, Done done,
                std::size_t written = 0) {
   boost::system::error_code ec;
   while (!ec && written < bytes.size())
@@ -47,11 +48,11 @@
     return;
   }
   socket.async_wait(boost::asio::ip::tcp::socket::wait_write,
-                    [&socket, bytes, written, current = std::move(current),
+                    [&socket, bytes, written, is_current = std::move(is_current),
                      done = std::move(done)](boost::system::error_code failed) mutable {
-                      if (!current()) return;
+                      if (!is_current()) return;
                       if (failed) return done(failed, written);
-                      write_all(socket, bytes, std::move(current), std::move(done), written);
+                      write_all(socket, bytes, std::move(is_current), std::move(done), written);
                     });
 }
 
--- a/tests/client/body_transfer_test.cpp
+++ b/tests/client/body_transfer_test.cpp
@@ -103,7 +103,9 @@
       orderly ? peer->close() : peer->reset();
       const auto response = client.receive();
       ASSERT_EQ(response.has_value(), orderly);
-      if (orderly) EXPECT_TRUE(response->body() == body);
+      if (orderly) {
+        EXPECT_TRUE(response->body() == body);
+      }
     }
 }
 
--- a/tests/decision/golden_trace_test.cpp
+++ b/tests/decision/golden_trace_test.cpp
@@ -1,4 +1,4 @@
-// Golden trace: drives the decision module through the JSON adapter's parser and writer with a seeded stream
+// Golden trace: drives the decision engine through the JSON adapter's parser and writer with a seeded stream
 // of events, and compares every action byte for byte with a recorded file. Only log texts are left out.
 // QUOTA_GATEWAY_UPDATE_FIXTURES=1 records the files anew.
 #include <gtest/gtest.h>
