--- a/tests/decision/endpoint_pool_test.cpp
+++ b/tests/decision/endpoint_pool_test.cpp
@@ -22,10 +22,7 @@
 
 TEST(EndpointPool, NothingIsSentToADisabledEndpointAndItReturnsInSlowStart) {
   Settings settings = basic_settings();
-  settings.slow_start_min_capacity = 0.2;
-  settings.slow_start_duration = 20 * kSecond;
-  settings.slow_start_overload_factor = 3;
-  settings.slow_start_window = 2 * kSecond;
+  enable_slow_start(settings, 0.2, 20 * kSecond, 3, 2 * kSecond);
   EngineHarness engine(settings, up({"a"}));
   engine.step(kMillisecond, {AdminStateChanged{"a", true}});
   EndpointListUpdate again;
--- a/tests/decision/hot_restart_state_test.cpp
+++ b/tests/decision/hot_restart_state_test.cpp
@@ -51,10 +51,7 @@
 }
 
 TEST_F(HotRestartStateTest, TheSlowStartBudgetIsNotSpentTwice) {
-  settings.slow_start_min_capacity = 0.2;
-  settings.slow_start_duration = 20 * kSecond;
-  settings.slow_start_overload_factor = 3;
-  settings.slow_start_window = 2 * kSecond;
+  enable_slow_start(settings, 0.2, 20 * kSecond, 3, 2 * kSecond);
   auto cold = up({"a"});
   cold[0].started_at = kMillisecond;
   before.emplace(settings, cold);
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -18,10 +18,7 @@
 
 TEST(SlowStart, AFreshEndpointGetsOneRequestAWindowBeforePeersAreObserved) {
   Settings settings = basic_settings();
-  settings.slow_start_min_capacity = 0.2;
-  settings.slow_start_duration = 15 * kSecond;
-  settings.slow_start_overload_factor = 2;
-  settings.slow_start_window = kSecond;
+  enable_slow_start(settings, 0.2, 15 * kSecond, 2, kSecond);
   auto servers = up({"a"});
   servers[0].started_at = 1;
   EngineHarness engine(settings, servers);
@@ -35,10 +32,7 @@
   Settings settings = basic_settings();
   settings.gateway_count = gateways;
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
-  settings.slow_start_min_capacity = 0.21;
-  settings.slow_start_duration = 18 * kSecond;
-  settings.slow_start_overload_factor = 3;
-  settings.slow_start_window = 2 * kSecond;
+  enable_slow_start(settings, 0.21, 18 * kSecond, 3, 2 * kSecond);
   constexpr TimePoint kJoin = 5 * kSecond, kEnd = 11 * kSecond;
   std::vector<EndpointEntry> fresh;
   for (int i = 0; i < 12; ++i) {
@@ -98,10 +92,7 @@
   Settings settings = basic_settings();
   settings.gateway_count = gateways;
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
-  settings.slow_start_min_capacity = 0.21;
-  settings.slow_start_duration = 18 * kSecond;
-  settings.slow_start_overload_factor = 3;
-  settings.slow_start_window = 2 * kSecond;
+  enable_slow_start(settings, 0.21, 18 * kSecond, 3, 2 * kSecond);
   std::vector<EndpointEntry> fresh = up({"new1", "new2"});
   for (EndpointEntry& e : fresh) e.started_at = kJoin;
   std::vector<EndpointEntry> old = up({"old1", "old2", "old3", "old4", "old5", "old6"}), all_of = old;
@@ -196,10 +187,7 @@
 bool is_in_slow_start(Duration wall_offset, TimePoint started_at, TimePoint announced_at, TimePoint at) {
   Settings settings = basic_settings();
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
-  settings.slow_start_min_capacity = 0.2;
-  settings.slow_start_duration = 15 * kSecond;
-  settings.slow_start_overload_factor = 2;
-  settings.slow_start_window = kSecond;
+  enable_slow_start(settings, 0.2, 15 * kSecond, 2, kSecond);
   EngineHarness engine(settings, up({"old"}));
   engine.step(20 * kSecond, {EndpointListUpdate{EndpointListUpdate::Kind::kPartial, {}}});
   engine.step(announced_at - 1, {WallClockStepped{wall_offset}});
--- a/tests/support/engine_harness.hpp
+++ b/tests/support/engine_harness.hpp
@@ -46,7 +46,7 @@
   return settings;
 }
 
-// Slow start as in most tests of it; the capacity rises over `duration`.
+// Gives endpoints a slow start, in which their capacity rises from `min_capacity` over `duration`.
 inline void enable_slow_start(Settings& settings, double min_capacity, Duration duration,
                               double overload_factor, Duration window) {
   settings.slow_start_min_capacity = min_capacity;
