--- a/include/quota_gateway/actions.hpp
+++ b/include/quota_gateway/actions.hpp
@@ -53,7 +53,7 @@
 };
 
 // Asks for the endpoint list and its changes.
-struct SubscribeEndpoints {};
+struct SubscribeToEndpoints {};
 
 // A line for the operators' log.
 struct LogMessage {
@@ -61,6 +61,6 @@
 };
 
 using Action = std::variant<SendAttempt, CancelAttempt, RejectRequest, FailRequest, SetTimer, SendProbe,
-                            IncrementCounter, SubscribeEndpoints, LogMessage>;
+                            IncrementCounter, SubscribeToEndpoints, LogMessage>;
 
 }  // namespace quota_gateway
--- a/include/quota_gateway/events.hpp
+++ b/include/quota_gateway/events.hpp
@@ -29,9 +29,9 @@
 struct LoadReport {
   double in_flight = -1;
   double queued = -1;
-  double cpu = -1;
-  double service_ms = -1;
-  double served_per_s = -1;
+  double cpu_utilization = -1;
+  double latency_ms = -1;
+  double requests_per_s = -1;
   double errors_per_s = -1;
 };
 
@@ -97,9 +97,9 @@
   std::string endpoint;
   Outcome outcome = Outcome::kOk;
   Duration duration = 0;
-  bool request_finished = false;  // the client has its final response
-  int quota_meter = 0;            // 1 + percent of the quota that its customer used; 0: not reported
-  double billed_units = 0;        // true units, where units are settled later
+  bool request_finished = false;   // the client has its final response
+  int quota_percent_plus_one = 0;  // 1 + percent of the quota that its customer used; 0: not reported
+  double billed_units = 0;         // true units, where units are settled later
   LoadReport load;
   bool replayable = true;  // false: its body has been forwarded and is no longer buffered
 };
--- a/include/quota_gateway/settings.hpp
+++ b/include/quota_gateway/settings.hpp
@@ -20,7 +20,7 @@
   Duration latency_objective = 1'000'000;  // a response within it earns the full priority weight
   Duration client_timeout = 4'000'000;     // over all attempts
   double priority_weight = 1;
-  double late_weight = 0;  // part of the weight earned after the objective but before the deadline
+  double late_weight_fraction = 0;  // part of the weight earned after the objective but before the deadline
   Idempotency idempotency = Idempotency::kNonIdempotent;
   DedupScope dedup_scope = DedupScope::kCell;
   Duration dedup_window = 0;  // for this long an endpoint recognises an idempotency key
@@ -37,8 +37,8 @@
   double hard_limit_burst = 0;
   double hard_limit_slack = 0;
   double priority_factor = 1;
-  double excess_weight = 0;  // part of its weight that a request forwarded beyond the quota earns
-  double excess_cost = 1;    // part of its weight that it costs
+  double excess_weight_fraction = 0;  // part of its weight that a request forwarded beyond the quota earns
+  double excess_cost_fraction = 1;    // part of its weight that it costs
 };
 
 // The configuration of one gateway.
@@ -53,7 +53,7 @@
   Duration counter_timeout = 50'000;
   Duration metering_period = 0;  // 0: no metering
   double max_request_units = 1;
-  bool settles_units_later = false;  // the units of a request are an estimate until an endpoint bills it
+  bool endpoints_bill_units = false;  // the units of a request are an estimate until an endpoint bills it
   int max_attempts = 1;
   Duration connect_timeout = 0;
   bool allow_probes = false;
@@ -62,10 +62,10 @@
   bool allow_retry_after = false;
   Duration max_retry_after = 0;
   bool subscribe_to_endpoints = false;  // the endpoint list must be subscribed to
-  Duration subscribe_within = 10'000'000;
+  Duration max_subscribe_delay = 10'000'000;
   Duration response_grace = 0;
   Duration drain_grace = 0;
-  double slow_start_min_capacity = 1;  // of a fresh endpoint, as a part of its full capacity
+  double slow_start_min_capacity_fraction = 1;  // of a fresh endpoint, as a part of its full capacity
   Duration slow_start_duration = 0;
   double slow_start_overload_factor = 1;  // times the present capacity
   Duration slow_start_window = 0;         // more than that factor for this long overloads a fresh endpoint
--- a/src/adapter/action_codec.cpp
+++ b/src/adapter/action_codec.cpp
@@ -29,7 +29,7 @@
     return {
         {"what", "Tally"}, {"Cname", action.name}, {"Amount", action.amount}, {"ForgetAfterUs", action.ttl}};
   }
-  Json operator()(const SubscribeEndpoints& /*action*/) const {
+  Json operator()(const SubscribeToEndpoints& /*action*/) const {
     return {{"what", "Subscribe"}, {"Enable", true}};
   }
   Json operator()(const LogMessage& action) const {
--- a/src/adapter/event_codec.cpp
+++ b/src/adapter/event_codec.cpp
@@ -33,9 +33,9 @@
   LoadReport load;
   load.in_flight = optional_field(feedback, "active", -1.0);
   load.queued = optional_field(feedback, "waiting", -1.0);
-  load.cpu = optional_field(feedback, "cpu", -1.0);
-  load.service_ms = optional_field(feedback, "avg_ms", -1.0);
-  load.served_per_s = optional_field(feedback, "rps", -1.0);
+  load.cpu_utilization = optional_field(feedback, "cpu", -1.0);
+  load.latency_ms = optional_field(feedback, "avg_ms", -1.0);
+  load.requests_per_s = optional_field(feedback, "rps", -1.0);
   load.errors_per_s = optional_field(feedback, "err_rps", -1.0);
   return load;
 }
@@ -83,7 +83,7 @@
   event.outcome = parse_outcome(message);
   event.duration = optional_field<Duration>(message, "DurationUs", 0);
   event.request_finished = optional_field(message, "Over", false);
-  event.quota_meter = optional_field(message, "Usage", 0);
+  event.quota_percent_plus_one = optional_field(message, "Usage", 0);
   event.billed_units = optional_field(message, "Billed", 0.0);
   event.load = parse_load(message);
   return event;
--- a/src/adapter/settings_codec.cpp
+++ b/src/adapter/settings_codec.cpp
@@ -14,7 +14,7 @@
   parsed.latency_objective = optional_field(fields, "ObjectiveUs", parsed.latency_objective);
   parsed.client_timeout = optional_field(fields, "GiveUpUs", parsed.client_timeout);
   parsed.priority_weight = optional_field(fields, "Importance", parsed.priority_weight);
-  parsed.late_weight = optional_field(fields, "LateValue", parsed.late_weight);
+  parsed.late_weight_fraction = optional_field(fields, "LateValue", parsed.late_weight_fraction);
   const auto idempotency = optional_field<std::string>(fields, "Repeat", "");
   parsed.idempotency = value_of(idempotency, kIdempotencyWords, Idempotency::kNonIdempotent);
   const auto dedup_scope = optional_field<std::string>(fields, "DedupScope", "");
@@ -34,8 +34,8 @@
   parsed.hard_limit_burst = optional_field(fields, "HardBurst", 0.0);
   parsed.hard_limit_slack = optional_field(fields, "CapSlack", 0.0);
   parsed.priority_factor = optional_field(fields, "ValueFactor", 1.0);
-  parsed.excess_weight = optional_field(fields, "ExcessWorth", 0.0);
-  parsed.excess_cost = optional_field(fields, "OverrunCost", 0.0);
+  parsed.excess_weight_fraction = optional_field(fields, "ExcessWorth", 0.0);
+  parsed.excess_cost_fraction = optional_field(fields, "OverrunCost", 0.0);
   return parsed;
 }
 
@@ -54,14 +54,14 @@
   settings.counter_timeout = optional_field(extra, "CounterTimeoutUs", settings.counter_timeout);
   settings.metering_period = optional_field<Duration>(extra, "MeteringUs", 0);
   settings.max_request_units = optional_field(extra, "Largest", 1.0);
-  settings.settles_units_later = optional_field(extra, "CostAfter", false);
+  settings.endpoints_bill_units = optional_field(extra, "CostAfter", false);
 }
 
 void parse_obligations(const Json& obligations, Settings& settings) {
-  settings.subscribe_within = optional_field(obligations, "AskWithinUs", settings.subscribe_within);
+  settings.max_subscribe_delay = optional_field(obligations, "AskWithinUs", settings.max_subscribe_delay);
   settings.response_grace = optional_field<Duration>(obligations, "GraceToAnswerUs", 0);
   settings.drain_grace = optional_field<Duration>(obligations, "StopSendingWithinUs", 0);
-  settings.slow_start_min_capacity = optional_field(obligations, "ColdShare", 1.0);
+  settings.slow_start_min_capacity_fraction = optional_field(obligations, "ColdShare", 1.0);
   settings.slow_start_duration = optional_field<Duration>(obligations, "ColdUs", 0);
   settings.slow_start_overload_factor = optional_field(obligations, "TipMultiple", 1.0);
   settings.slow_start_window = optional_field<Duration>(obligations, "TipAfterUs", 0);
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -80,7 +80,7 @@
 
 // A plan whose excess requests earn more than they cost may use capacity that nobody else needs.
 bool Admission::is_excess_allowed(const PlanSettings& plan) {
-  return plan.excess_weight > plan.excess_cost && modules_.dispatcher.has_spare_capacity();
+  return plan.excess_weight_fraction > plan.excess_cost_fraction && modules_.dispatcher.has_spare_capacity();
 }
 
 void Admission::admit(Request& request, bool within_quota) {
--- a/src/decision/attempt_results.cpp
+++ b/src/decision/attempt_results.cpp
@@ -31,7 +31,7 @@
   if (endpoints_.on_attempt_ended(context_.now(), *attempt.endpoint, report))
     log_.write(LogKind::kEndpointEjected,
                "endpoints: " + attempt.endpoint->entry.endpoint + " ejected: consecutive failures");
-  if (context_.settings().settles_units_later && result.billed_units > 0 && !request.is_excess)
+  if (context_.settings().endpoints_bill_units && result.billed_units > 0 && !request.is_excess)
     slices_.consume(*request.customer, result.billed_units - request.units);
 }
 
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -137,7 +137,7 @@
 
 void DecisionEngine::Impl::start() {
   is_started_ = true;
-  if (settings_.subscribe_to_endpoints) context_.emit(SubscribeEndpoints{});
+  if (settings_.subscribe_to_endpoints) context_.emit(SubscribeToEndpoints{});
   // The seed spreads the gateways' periods, so that they do not all call the counter at once.
   const auto phase = Duration(decision::mix_bits(seed_) % std::uint64_t(decision::kPeriod));
   next_period_at_ = context_.now() + 1 + phase;
@@ -159,7 +159,7 @@
   if (event.kind != EndpointListUpdate::Kind::kError || !settings_.subscribe_to_endpoints) return;
   log_.write(decision::LogKind::kSubscriptionFailed,
              "endpoints: subscription to the endpoint list failed: subscribing again");
-  const Duration retry_interval = settings_.subscribe_within / 8;
+  const Duration retry_interval = settings_.max_subscribe_delay / 8;
   context_.emit(SetTimer{context_.now() + retry_interval, decision::kResubscribeTimer});
 }
 
@@ -184,7 +184,7 @@
   if (event.token == decision::kPeriodTimer) {
     on_period();
   } else if (event.token == decision::kResubscribeTimer) {
-    context_.emit(SubscribeEndpoints{});
+    context_.emit(SubscribeToEndpoints{});
   } else if (const auto timer = requests_.remove_timer(event.token)) {
     on_request_timer(*timer);
   }
--- a/src/decision/endpoints/concurrency_limit.cpp
+++ b/src/decision/endpoints/concurrency_limit.cpp
@@ -28,7 +28,7 @@
 }  // namespace
 
 double ConcurrencyLimit::limit() const {
-  const double fleet_minimum = kMinAttemptsPerEndpoint * std::max(fleet_.in_use(), 1);
+  const double fleet_minimum = kMinAttemptsPerEndpoint * std::max(fleet_.in_rotation(), 1);
   return std::max(adaptive_limit_, fleet_minimum / settings_.gateway_count);
 }
 
--- a/src/decision/endpoints/endpoint.hpp
+++ b/src/decision/endpoints/endpoint.hpp
@@ -24,16 +24,17 @@
 
   // EndpointPool: the endpoint list and the operators' decisions.
   EndpointEntry entry;             // as last announced; removed if the last complete list lacked it
-  bool announced = false;          // some endpoint list has named it
+  bool was_listed = false;         // some endpoint list has named it
   bool disabled = false;           // by an operator
   TimePoint admin_changed_at = 0;  // when an operator last disabled or enabled it
   TimePoint restarted_at = 0;      // when its last restart was announced; 0: started before this gateway
   bool counted_available = false;  // included in FleetStatus::available
-  int out = 0;                     // attempts of this gateway in flight at the endpoint
-  TimePoint busy_since = 0;        // last response, or first send to the idle endpoint, whichever is later
+  int local_attempts = 0;          // attempts of this gateway in flight at the endpoint
+  TimePoint awaiting_response_since =
+      0;  // last response, or first send to the idle endpoint, whichever is later
 
   // EndpointPicker.
-  std::size_t slot = 0;  // in the sampler
+  std::size_t sampler_slot = 0;  // in the sampler
 
   // Slow start.
   TimePoint slow_start_at = kNoSlowStart;       // when the slow start began
@@ -61,7 +62,7 @@
   // True if the endpoint may get requests, apart from ejection.
   [[nodiscard]] bool is_available() const { return entry.state == EndpointState::kUp && !disabled; }
   [[nodiscard]] bool is_ejected(TimePoint now) const { return ejected_until > now; }
-  [[nodiscard]] bool is_in_use(TimePoint now) const { return is_available() && !is_ejected(now); }
+  [[nodiscard]] bool is_in_rotation(TimePoint now) const { return is_available() && !is_ejected(now); }
 
   // The weight in the endpoint list, or 1 if the list gives none.
   [[nodiscard]] double configured_weight() const { return entry.weight > 0 ? entry.weight : 1; }
@@ -76,7 +77,7 @@
     visit(admin_changed_at);
     visit(restarted_at);
     visit(slow_start_at);
-    visit(busy_since);
+    visit(awaiting_response_since);
     visit(latency_ratio_sum);
     visit(latency_ratio_weight);
     visit(latency_sampled_at);
@@ -90,10 +91,10 @@
 // Totals over all endpoints.
 struct FleetStatus {
   int available = 0;
-  int ejected = 0;            // of the available ones, as of the last pick
-  bool reports_load = false;  // endpoints report the attempts of all gateways
+  int ejected = 0;                     // of the available ones, as of the last pick
+  bool endpoints_report_load = false;  // endpoints report the attempts of all gateways
 
-  [[nodiscard]] int in_use() const { return available - ejected; }
+  [[nodiscard]] int in_rotation() const { return available - ejected; }
 };
 
 // Returns the endpoint's values for a hot restart: the visited fields, then two values for each slow start
--- a/src/decision/endpoints/endpoint_cost.cpp
+++ b/src/decision/endpoints/endpoint_cost.cpp
@@ -33,7 +33,7 @@
   if (!reports_in_flight && !reports_queued) return false;
   if (reports_in_flight) {
     // The report still includes the attempt that has ended.
-    endpoint.peer_attempts = std::max(0.0, report.load.in_flight - endpoint.out - 1);
+    endpoint.peer_attempts = std::max(0.0, report.load.in_flight - endpoint.local_attempts - 1);
   } else {
     endpoint.peer_attempts = report.load.queued;
   }
@@ -48,7 +48,7 @@
     const double decay = exponential_decay(now - endpoint.load_reported_at, kLoadReportTimeConstant);
     peer_attempts = endpoint.peer_attempts * decay;
   }
-  double cost = (endpoint.out + peer_attempts + 1) / effective_weight;
+  double cost = (endpoint.local_attempts + peer_attempts + 1) / effective_weight;
   if (endpoint.entry.zone != settings.zone) cost *= kOtherZoneCostFactor;
   // One of many gateways sends each endpoint so little that connections to all of them would time out between
   // requests, and each request would pay for a handshake.
--- a/src/decision/endpoints/endpoint_cost.hpp
+++ b/src/decision/endpoints/endpoint_cost.hpp
@@ -12,7 +12,7 @@
 void record_connection_use(TimePoint now, Endpoint& endpoint);
 
 // Updates the endpoint's idle connections and its reported load from an attempt that has ended. Returns true
-// if the endpoint reported its load. The attempt is no longer counted in `endpoint.out`.
+// if the endpoint reported its load. The attempt is no longer counted in `endpoint.local_attempts`.
 bool record_load(TimePoint now, Endpoint& endpoint, const AttemptReport& report);
 
 // Returns the relative time until an attempt would end at the endpoint: the attempts there over the effective
--- a/src/decision/endpoints/endpoint_picker.cpp
+++ b/src/decision/endpoints/endpoint_picker.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 void EndpointPicker::add(Endpoint& endpoint) {
-  endpoint.slot = sampler_.add_slot();
+  endpoint.sampler_slot = sampler_.add_slot();
   endpoints_.push_back(&endpoint);
 }
 
@@ -37,14 +37,14 @@
 }
 
 void EndpointPicker::update_weight(TimePoint now, const Endpoint& endpoint, double mean_latency) {
-  const double weight = endpoint.is_in_use(now) ? effective_weight(now, endpoint, mean_latency) : 0;
-  sampler_.set(endpoint.slot, weight);
+  const double weight = endpoint.is_in_rotation(now) ? effective_weight(now, endpoint, mean_latency) : 0;
+  sampler_.set(endpoint.sampler_slot, weight);
 }
 
 void EndpointPicker::update_all_weights(TimePoint now) {
   std::vector<double> weights(endpoints_.size());
   for (const Endpoint* endpoint : endpoints_) {
-    if (endpoint->is_in_use(now)) weights[endpoint->slot] = effective_weight(now, *endpoint, 0);
+    if (endpoint->is_in_rotation(now)) weights[endpoint->sampler_slot] = effective_weight(now, *endpoint, 0);
   }
   sampler_.assign(std::move(weights));
 }
@@ -70,10 +70,10 @@
 // count.
 bool EndpointPicker::is_eligible(const Search& search, const Sample& sample) const {
   Endpoint& endpoint = *sample.endpoint;
-  if (endpoint.half_open && endpoint.out > 0) return false;
+  if (endpoint.half_open && endpoint.local_attempts > 0) return false;
   const double share = kMaxShareOfLimit * search.concurrency_limit * sample.effective_weight /
                        std::max(search.total_weight, kMinTotalWeight);
-  if (endpoint.out >= std::max(1.0, std::round(share))) return false;
+  if (endpoint.local_attempts >= std::max(1.0, std::round(share))) return false;
   return slow_start_.has_budget(search.request.now, endpoint, search.request.work, search.diverted);
 }
 
@@ -85,8 +85,8 @@
 // If each of many gateways picked the best of all endpoints, all would pick the same one. A gateway compares
 // the fewer endpoints, the smaller its part of the whole load is.
 std::size_t EndpointPicker::candidate_count() const {
-  const int part_of_fleet = fleet_.in_use() / settings_.gateway_count;
-  const bool is_peer_load_unknown = settings_.gateway_count >= kManyGateways && !fleet_.reports_load;
+  const int part_of_fleet = fleet_.in_rotation() / settings_.gateway_count;
+  const bool is_peer_load_unknown = settings_.gateway_count >= kManyGateways && !fleet_.endpoints_report_load;
   const int extra = is_peer_load_unknown ? kExtraCandidatesWithoutReports : 0;
   const int count = kMinCandidates + part_of_fleet + extra;
   return std::size_t(count);
@@ -99,16 +99,16 @@
     const double total = sampler_.total();
     if (total <= kNegligibleWeightPart * search.total_weight) return {};
     Endpoint& endpoint = *endpoints_[sampler_.find(random_.uniform() * total)];
-    const double sampled_weight = sampler_.weight(endpoint.slot);
+    const double sampled_weight = sampler_.weight(endpoint.sampler_slot);
     if (sampled_weight <= 0) return {};
     const double weight = effective_weight(search.request.now, endpoint, search.request.mean_latency);
     // The sampler's weights may be a period old. Rejection sampling corrects one that has fallen since.
     const bool is_rejected = weight < sampled_weight && random_.uniform() * sampled_weight >= weight;
     if (!is_rejected) {
-      sampler_.set(endpoint.slot, 0);
+      sampler_.set(endpoint.sampler_slot, 0);
       return {.endpoint = &endpoint, .effective_weight = weight};
     }
-    sampler_.set(endpoint.slot, weight);
+    sampler_.set(endpoint.sampler_slot, weight);
   }
 }
 
@@ -134,7 +134,7 @@
     if (!is_allowed(*sample.endpoint) || !is_eligible(search, sample)) continue;
     candidates.push_back(make_candidate(search, sample));
   }
-  for (const Sample& sample : samples) sampler_.set(sample.endpoint->slot, sample.effective_weight);
+  for (const Sample& sample : samples) sampler_.set(sample.endpoint->sampler_slot, sample.effective_weight);
   return candidates;
 }
 
@@ -154,7 +154,7 @@
   const PickRequest& request = search.request;
   std::vector<Entry> entries;
   for (Endpoint* endpoint : endpoints_) {
-    if (!endpoint->is_in_use(request.now) || !is_allowed(*endpoint)) continue;
+    if (!endpoint->is_in_rotation(request.now) || !is_allowed(*endpoint)) continue;
     const double weight = effective_weight(request.now, *endpoint, request.mean_latency);
     if (!is_eligible(search, {.endpoint = endpoint, .effective_weight = weight})) continue;
     const double key = -std::log(1 - random_.uniform()) / weight;
--- a/src/decision/endpoints/endpoint_pool.cpp
+++ b/src/decision/endpoints/endpoint_pool.cpp
@@ -44,9 +44,9 @@
 void EndpointPool::apply_list_entry(TimePoint now, const EndpointEntry& entry) {
   Endpoint& endpoint = find_or_create(entry.endpoint);
   const bool is_restarted = entry.started_at != endpoint.entry.started_at;
-  const bool is_new = !endpoint.announced;
+  const bool is_new = !endpoint.was_listed;
   endpoint.entry = entry;
-  endpoint.announced = true;
+  endpoint.was_listed = true;
   if (is_restarted || is_new) on_endpoint_started(now, endpoint);
   on_endpoint_changed(now, endpoint, 0);
 }
@@ -101,8 +101,8 @@
 
 void EndpointPool::on_attempt_sent(TimePoint now, Endpoint& endpoint, double work) {
   concurrency_limit_.on_attempt_sent(now);
-  ++endpoint.out;
-  if (endpoint.out == 1) endpoint.busy_since = now;
+  ++endpoint.local_attempts;
+  if (endpoint.local_attempts == 1) endpoint.awaiting_response_since = now;
   record_connection_use(now, endpoint);
   slow_start_.on_attempt_sent(now, endpoint, work);
 }
@@ -110,10 +110,10 @@
 bool EndpointPool::on_attempt_ended(TimePoint now, Endpoint& endpoint, const AttemptReport& report) {
   concurrency_limit_.on_attempt_ended(now, report);
   picker_.clear_backoff();
-  --endpoint.out;
-  if (report.is_processed()) endpoint.busy_since = now;
+  --endpoint.local_attempts;
+  if (report.is_processed()) endpoint.awaiting_response_since = now;
   record_latency(now, endpoint, report);
-  if (record_load(now, endpoint, report)) fleet_.reports_load = true;
+  if (record_load(now, endpoint, report)) fleet_.endpoints_report_load = true;
   const bool is_ejected = outlier_ejection_.on_attempt_ended(now, endpoint, report);
   on_endpoint_changed(now, endpoint, report.mean_time);
   return is_ejected;
--- a/src/decision/endpoints/relative_latency.cpp
+++ b/src/decision/endpoints/relative_latency.cpp
@@ -40,8 +40,9 @@
     ratio = (endpoint.latency_ratio_sum * decay + kPriorSamples) /
             (endpoint.latency_ratio_weight * decay + kPriorSamples);
   }
-  if (endpoint.out == 0 || mean_latency <= 0) return ratio;
-  return std::max(ratio, double(now - endpoint.busy_since) / (kUnresponsiveMeans * mean_latency));
+  if (endpoint.local_attempts == 0 || mean_latency <= 0) return ratio;
+  return std::max(ratio,
+                  double(now - endpoint.awaiting_response_since) / (kUnresponsiveMeans * mean_latency));
 }
 
 }  // namespace quota_gateway::decision
--- a/src/decision/endpoints/slow_start.cpp
+++ b/src/decision/endpoints/slow_start.cpp
@@ -34,7 +34,7 @@
 // The capacity factor of an endpoint with a slow start. It rises in a straight line.
 double SlowStart::ramp(TimePoint now, const Endpoint& endpoint) const {
   if (settings_.slow_start_duration <= 0) return 1;
-  const double min_capacity = settings_.slow_start_min_capacity;
+  const double min_capacity = settings_.slow_start_min_capacity_fraction;
   const double progress = double(now - endpoint.slow_start_at) / double(settings_.slow_start_duration);
   return std::clamp(min_capacity + (1 - min_capacity) * progress, min_capacity, 1.0);
 }
@@ -87,7 +87,7 @@
   double work = 0;
   double weight = 0;
   for (Endpoint* endpoint : endpoints) {
-    if (endpoint->is_in_use(now) && factor(now, *endpoint) >= 1) {
+    if (endpoint->is_in_rotation(now) && factor(now, *endpoint) >= 1) {
       work += endpoint->work_sent;
       weight += endpoint->configured_weight();
     }
--- a/src/decision/request_state.cpp
+++ b/src/decision/request_state.cpp
@@ -6,7 +6,7 @@
 namespace quota_gateway::decision {
 
 TimePoint useful_deadline(const ClassSettings& request_class, TimePoint client_deadline, TimePoint now) {
-  if (request_class.late_weight > 0) return client_deadline;
+  if (request_class.late_weight_fraction > 0) return client_deadline;
   return std::min(client_deadline, now + request_class.latency_objective);
 }
 
--- a/src/decision/slow_attempt_check.cpp
+++ b/src/decision/slow_attempt_check.cpp
@@ -33,7 +33,7 @@
 // An endpoint that has responded to another attempt in the meantime works on a heavy request; one that has
 // not is stalled.
 bool SlowAttemptCheck::is_endpoint_stalled(const Attempt& attempt) const {
-  return attempt.endpoint->busy_since <= attempt.sent_at;
+  return attempt.endpoint->awaiting_response_since <= attempt.sent_at;
 }
 
 }  // namespace quota_gateway::decision
--- a/src/runtime/coordinator.cpp
+++ b/src/runtime/coordinator.cpp
@@ -165,8 +165,8 @@
                        timer.at, [this, token = timer.token] { decision_loop_.push(TimerFired{token}); });
                  },
                  [this](const IncrementCounter& increment) { increment_counter(increment); },
-                 [](const SendProbe&) {},           // The settings of a gateway do not allow probes.
-                 [](const SubscribeEndpoints&) {},  // Discovery is watched at all times.
+                 [](const SendProbe&) {},             // The settings of a gateway do not allow probes.
+                 [](const SubscribeToEndpoints&) {},  // Discovery is watched at all times.
                  [](const LogMessage& message) { std::cerr << message.text << '\n'; },
              },
              action);
--- a/src/upstream/load_report.cpp
+++ b/src/upstream/load_report.cpp
@@ -23,12 +23,12 @@
                                                  {"active", &LoadReport::in_flight},
                                                  {"queue", &LoadReport::queued},
                                                  {"waiting", &LoadReport::queued},
-                                                 {"util", &LoadReport::cpu},
-                                                 {"cpu", &LoadReport::cpu},
-                                                 {"latency_ms", &LoadReport::service_ms},
-                                                 {"avg_ms", &LoadReport::service_ms},
-                                                 {"qps", &LoadReport::served_per_s},
-                                                 {"rps", &LoadReport::served_per_s},
+                                                 {"util", &LoadReport::cpu_utilization},
+                                                 {"cpu", &LoadReport::cpu_utilization},
+                                                 {"latency_ms", &LoadReport::latency_ms},
+                                                 {"avg_ms", &LoadReport::latency_ms},
+                                                 {"qps", &LoadReport::requests_per_s},
+                                                 {"rps", &LoadReport::requests_per_s},
                                                  {"eps", &LoadReport::errors_per_s},
                                                  {"err_rps", &LoadReport::errors_per_s}}};
 
--- a/tests/adapter/codec_test.cpp
+++ b/tests/adapter/codec_test.cpp
@@ -45,7 +45,7 @@
   const auto& a = std::get<AttemptEnded>(*e);
   EXPECT_EQ(a.attempt, 1);
   EXPECT_EQ(a.outcome, Outcome::kReset);
-  EXPECT_EQ(a.quota_meter, 86);
+  EXPECT_EQ(a.quota_percent_plus_one, 86);
   EXPECT_DOUBLE_EQ(a.load.in_flight, 7);
   EXPECT_LT(a.load.queued, 0);
   EXPECT_FALSE(parse_event(Json::parse(R"({"what":"Datagram","From":1,"Raw":"00"})"), {}).has_value());
--- a/tests/decision/golden_trace_test.cpp
+++ b/tests/decision/golden_trace_test.cpp
@@ -342,7 +342,7 @@
                {"DurationUs", duration},
                {"Disposition", outcome}});
   }
-  void act(TimePoint now, std::size_t, const SubscribeEndpoints&) {
+  void act(TimePoint now, std::size_t, const SubscribeToEndpoints&) {
     Json all = Json::array();
     for (int i = 0; i < scenario_.endpoints; ++i) all.push_back(entry(i));
     plan_list(now + 15 * kMillisecond, "Complete", all);
--- a/tests/decision/quota_slices_test.cpp
+++ b/tests/decision/quota_slices_test.cpp
@@ -141,7 +141,7 @@
 
 TEST(QuotaSlices, UnitsSettledLaterAreChargedToTheSlice) {
   Settings settings = basic_settings();
-  settings.settles_units_later = true;
+  settings.endpoints_bill_units = true;
   EngineHarness engine(settings);
   auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
   AttemptEnded ended;
--- a/tests/decision/retries_test.cpp
+++ b/tests/decision/retries_test.cpp
@@ -13,7 +13,7 @@
   settings.classes[0].idempotency = repeat;
   settings.classes[0].dedup_scope = DedupScope::kCell;
   settings.classes[0].dedup_window = 8 * kSecond;
-  settings.classes[0].late_weight = 0.2;
+  settings.classes[0].late_weight_fraction = 0.2;
   return settings;
 }
 
--- a/tests/runtime/coordinator_test.cpp
+++ b/tests/runtime/coordinator_test.cpp
@@ -215,7 +215,7 @@
 }
 
 TEST_F(CoordinatorTest, ChargesUnitsBilledWithTheResponseToTheQuota) {
-  rig.config.settings.settles_units_later = true;
+  rig.config.settings.endpoints_bill_units = true;
   rig.config.settings.plans[0].rate = 1e-6;
   rig.config.settings.plans[0].burst = 30;  // ten of them at this one of three gateways
   rig.add_endpoint(discovered_endpoint("s1", s1));
--- a/tests/support/engine_harness.hpp
+++ b/tests/support/engine_harness.hpp
@@ -49,7 +49,7 @@
 // Gives endpoints a slow start, in which their capacity rises from `min_capacity` over `duration`.
 inline void enable_slow_start(Settings& settings, double min_capacity, Duration duration,
                               double overload_factor, Duration window) {
-  settings.slow_start_min_capacity = min_capacity;
+  settings.slow_start_min_capacity_fraction = min_capacity;
   settings.slow_start_duration = duration;
   settings.slow_start_overload_factor = overload_factor;
   settings.slow_start_window = window;
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -315,7 +315,7 @@
     intro.name = "intro-request";
     intro.idempotency = Idempotency::kByKey;
     intro.latency_objective = 2'000'000;
-    intro.late_weight = 0.2;
+    intro.late_weight_fraction = 0.2;
     intro.dedup_window = 8'000'000;
     s.classes = {read, intro};
     PlanSettings plan;
--- a/tests/upstream/load_report_test.cpp
+++ b/tests/upstream/load_report_test.cpp
@@ -13,9 +13,9 @@
   for (const LoadReport& load : {first, second}) {
     EXPECT_DOUBLE_EQ(load.in_flight, 1);
     EXPECT_DOUBLE_EQ(load.queued, 2);
-    EXPECT_DOUBLE_EQ(load.cpu, 0.3);
-    EXPECT_DOUBLE_EQ(load.service_ms, 4);
-    EXPECT_DOUBLE_EQ(load.served_per_s, 5);
+    EXPECT_DOUBLE_EQ(load.cpu_utilization, 0.3);
+    EXPECT_DOUBLE_EQ(load.latency_ms, 4);
+    EXPECT_DOUBLE_EQ(load.requests_per_s, 5);
     EXPECT_DOUBLE_EQ(load.errors_per_s, 6);
   }
 }
@@ -24,9 +24,9 @@
   const LoadReport load = parse_load_report("TEXT inflight=-1, queue=x, util=inf, avg_ms, =5,, rps=7");
   EXPECT_LT(load.in_flight, 0);
   EXPECT_LT(load.queued, 0);
-  EXPECT_LT(load.cpu, 0);
-  EXPECT_LT(load.service_ms, 0);
-  EXPECT_DOUBLE_EQ(load.served_per_s, 7);
+  EXPECT_LT(load.cpu_utilization, 0);
+  EXPECT_LT(load.latency_ms, 0);
+  EXPECT_DOUBLE_EQ(load.requests_per_s, 7);
 }
 
 TEST(UpstreamLoadReportTest, EmptyHeaderReportsNothing) {
--- a/tests/upstream/response_body_test.cpp
+++ b/tests/upstream/response_body_test.cpp
@@ -15,8 +15,8 @@
   EXPECT_EQ(result.body, "body");
   EXPECT_DOUBLE_EQ(result.load.in_flight, 7);
   EXPECT_DOUBLE_EQ(result.load.queued, 2);
-  EXPECT_DOUBLE_EQ(result.load.cpu, 0.61);
-  EXPECT_LT(result.load.served_per_s, 0);
+  EXPECT_DOUBLE_EQ(result.load.cpu_utilization, 0.61);
+  EXPECT_LT(result.load.requests_per_s, 0);
   const auto& received = endpoint.requests.at(0);
   EXPECT_EQ(received.target(), "/intro-request/1?q");
   EXPECT_EQ(received["X-Trace-Id"], "t1");
