--- a/include/quota_gateway/actions.hpp
+++ b/include/quota_gateway/actions.hpp
@@ -1,4 +1,4 @@
-// The actions that the decision engine asks for. Plain data only.
+// The actions that the decision engine requests from its host. Plain data only.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,27 @@
 struct SendAttempt {
   std::string id;
   std::string endpoint;
-  Duration timeout = 0;  // 0: until the client's deadline
+  Duration timeout = 0;  // 0: no timeout before the client's deadline
 };
 
-// Cancels an attempt in flight; its end is still reported.
+// Cancels an attempt in flight. An AttemptEnded event still follows.
 struct CancelAttempt {
   std::string id;
   int attempt = 0;
 };
 
-// The final response to a request that has had no effect.
+// Sends the final response to a request that has had no effect.
 struct RejectRequest {
   std::string id;
-  Duration retry_after = 0;  // 0: none
+  Duration retry_after = 0;  // for the client to wait; 0: not stated
 };
 
-// The final response to a request that may have had an effect.
+// Sends the final response to a request that may have had an effect.
 struct FailRequest {
   std::string id;
 };
 
-// Asks for TimerFired with this token at this time.
+// Requests a TimerFired event with this token at this time.
 struct SetTimer {
   TimePoint at = 0;
   std::int64_t token = 0;
@@ -44,18 +44,18 @@
   std::string endpoint;
 };
 
-// Adds to a counter that all gateways share; a CounterReply follows. A new counter begins at 0 and expires
-// after `ttl`; later increments do not extend it.
+// Adds `amount` to a counter that all gateways share; a CounterReply event follows. A new counter starts at 0
+// and expires after `ttl`; later increments do not extend its life.
 struct IncrementCounter {
   std::int64_t name = 0;
   double amount = 0;
   Duration ttl = 0;
 };
 
-// Asks for the endpoint list and its changes.
+// Subscribes to the endpoint list and its changes.
 struct SubscribeToEndpoints {};
 
-// A line for the operators' log.
+// Writes a line to the operators' log.
 struct LogMessage {
   std::string text;
 };
--- a/include/quota_gateway/decision_engine.hpp
+++ b/include/quota_gateway/decision_engine.hpp
@@ -1,5 +1,5 @@
-// The decision engine of one gateway: admission, endpoint selection, retries and final responses. It holds no
-// sockets and no clock; events go in, actions come out.
+// The decision engine of one gateway: admission, endpoint selection, retries and final responses. It uses no
+// sockets and no clock: it takes events and returns actions.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
 namespace quota_gateway {
 
-// Deterministic: the same settings, seed, times and events give the same actions.
+// Deterministic: the same settings, seed, times and events produce the same actions.
 class DecisionEngine {
  public:
   DecisionEngine(Settings settings, std::uint64_t seed);
@@ -26,21 +26,23 @@
   DecisionEngine(DecisionEngine&&) noexcept;
   DecisionEngine& operator=(DecisionEngine&&) noexcept;
 
-  // The endpoints in the list, and how many of these get no requests now though they run.
+  // The number of endpoints in the endpoint list, and of those that are disabled or ejected.
   struct EndpointCounts {
     std::size_t listed = 0;
     std::size_t excluded = 0;
   };
+  // Counts the endpoints as of `now`.
   [[nodiscard]] EndpointCounts count_endpoints(TimePoint now) const;
 
-  // The state for the process that replaces this one. From here on nothing is admitted unless the hot restart
-  // is aborted; requests in flight and queued ones are still finished.
+  // Returns the state for the successor process and stops admitting requests until HotRestartAborted, if it
+  // comes. Requests in flight and queued requests are still completed.
   HotRestartState begin_hot_restart(TimePoint now);
 
-  // Attempts in flight, by customer.
+  // Returns the number of attempts in flight by customer.
   [[nodiscard]] std::map<std::string, int> attempts_in_flight() const;
 
-  // Processes what happened at `now`, in order, and appends what is to be done at once, in order.
+  // Processes the events that happened at `now`, in order, and appends the resulting actions, to be executed
+  // at once and in order.
   void handle(TimePoint now, const std::vector<Event>& events, std::vector<Action>& actions);
 
  private:
--- a/include/quota_gateway/events.hpp
+++ b/include/quota_gateway/events.hpp
@@ -22,10 +22,10 @@
   std::int64_t cell = 0;
   EndpointState state = EndpointState::kUp;
   double weight = 1;
-  TimePoint started_at = 0;  // by the wall clock; 0: not recently
+  TimePoint started_at = 0;  // on the wall clock; 0: not recently
 };
 
-// The load that an endpoint reported; a negative value was not reported.
+// The load that an endpoint reported. A negative value means that it was not reported.
 struct LoadReport {
   double in_flight = -1;
   double queued = -1;
@@ -40,7 +40,7 @@
   kOk,
   kError,          // may have executed
   kOverloaded,     // never executed
-  kTimeout,        // may have executed, may be executing
+  kTimeout,        // may have executed or still be executing
   kConnectFailed,  // never executed
   kReset,          // may have executed
   kCancelled,      // may have executed
@@ -54,33 +54,34 @@
   std::vector<EndpointEntry> entries;
 };
 
-// An operator disabled an endpoint or enabled it again; may be repeated. It overrides the endpoint list.
+// An operator disabled or re-enabled an endpoint, which overrides the endpoint list. May be repeated.
 struct AdminStateChanged {
   std::string endpoint;
   bool disabled = false;
 };
 
-// A client's request, which needs exactly one final response.
+// A client's request has arrived. It gets exactly one final response.
 struct RequestArrived {
   std::string id;
   std::string customer;
   std::string plan;
   std::string request_class;
   double units = 1;
-  TimePoint deadline = 0;       // the client's, over all attempts
-  int gateway_set_size = 1;     // gateways that this customer may use
-  int first_gateway_index = 0;  // of that set; the others follow, modulo the number of gateways
+  TimePoint deadline = 0;       // the client's, for all attempts together
+  int gateway_set_size = 1;     // gateways that this customer may use; 0: all
+  int first_gateway_index = 0;  // first of that set; the others follow it, modulo the number of gateways
   bool client_retry = false;
-  bool body_pending = false;  // RequestBodyCompleted will follow with the final deadline
+  bool body_pending = false;  // RequestBodyCompleted follows with the final deadline
 };
 
-// All of a request whose body was pending has arrived.
+// The body of a request that arrived with `body_pending` is complete.
 struct RequestBodyCompleted {
   std::string id;
   TimePoint deadline = 0;
 };
 
-// A response is being forwarded to the client; no other can follow. The attempt's end comes later.
+// The response of an attempt is being forwarded to the client, so no other response can be sent. The
+// AttemptEnded event comes later.
 struct ResponseStarted {
   std::string id;
   int attempt = 0;
@@ -90,7 +91,7 @@
   LoadReport load;
 };
 
-// An attempt has ended: its response is complete, it failed, or it was cancelled.
+// An attempt has ended: its response is complete, or the attempt failed or was cancelled.
 struct AttemptEnded {
   std::string id;
   int attempt = 0;
@@ -98,10 +99,10 @@
   Outcome outcome = Outcome::kOk;
   Duration duration = 0;
   bool request_finished = false;   // the client has its final response
-  int quota_percent_plus_one = 0;  // 1 + percent of the quota that its customer used; 0: not reported
-  double billed_units = 0;         // true units, where units are settled later
+  int quota_percent_plus_one = 0;  // 1 + percentage of the quota that the customer has used; 0: not reported
+  double billed_units = 0;         // actual units, if endpoints bill them
   LoadReport load;
-  bool replayable = true;  // false: its body has been forwarded and is no longer buffered
+  bool replayable = true;  // false: the request body has been forwarded and is no longer buffered
 };
 
 // The client has disconnected or timed out.
@@ -109,12 +110,12 @@
   std::string id;
 };
 
-// A timer of SetTimer is due.
+// A timer that SetTimer requested is due.
 struct TimerFired {
   std::int64_t token = 0;
 };
 
-// The result of a SendProbe.
+// The result of a SendProbe action.
 struct ProbeEnded {
   std::string endpoint;
   Outcome outcome = Outcome::kOk;
@@ -125,10 +126,10 @@
 enum class CounterOutcome {
   kOk,
   kNotAdded,  // the counter service rejected the increment, or could not be reached
-  kUnknown    // no reply in time: the amount may have been added
+  kUnknown    // no reply in time; the amount may have been added
 };
 
-// The reply to an IncrementCounter, or its failure.
+// The reply to an IncrementCounter action, or its failure.
 struct CounterReply {
   std::int64_t name = 0;
   double total = 0;
@@ -136,32 +137,32 @@
   Duration duration = 0;
 };
 
-// The wall clock, by which endpoints report their starts and gateways name their counters, is `offset` ahead
-// of the clock by which events are reported. Before the first of these events the two are equal.
+// The wall clock is now `offset` ahead of the clock that events are timed by. Endpoints report their start
+// times, and gateways name their counters, by the wall clock. Until the first such event the clocks agree.
 struct WallClockStepped {
   Duration offset = 0;
 };
 
-// The state that a process passes to the one that replaces it. The values are in a fixed order; a list of
-// another length was written by another build and is ignored.
+// The state that a predecessor passes to its successor. The values have a fixed order; a list of another
+// length was written by another build and is ignored.
 struct HotRestartState {
   using Values = std::vector<double>;
-  std::map<std::string, std::pair<std::string, Values>> customers;  // with the name of their plan
-  std::map<std::string, Values> endpoints;
-  Values fleet;
+  std::map<std::string, std::pair<std::string, Values>> customers;  // plan name and values, by customer
+  std::map<std::string, Values> endpoints;                          // by endpoint name
+  Values fleet;                                                     // of all endpoints together
 };
 
-// This process replaces another one and continues from its state.
+// This process is the successor in a hot restart and continues from the predecessor's state.
 struct StateRestored {
   HotRestartState state;
 };
 
-// Attempts that the predecessor of this process still has in flight, by customer.
+// The number of attempts that the predecessor still has in flight, by customer.
 struct PredecessorAttempts {
   std::map<std::string, int> in_flight;
 };
 
-// The process that was to replace this one has ended. This one continues to admit requests.
+// The successor process has ended. This process admits requests again.
 struct HotRestartAborted {};
 
 using Event =
--- a/include/quota_gateway/settings.hpp
+++ b/include/quota_gateway/settings.hpp
@@ -1,4 +1,4 @@
-// The configuration of a gateway: request classes, service plans and the limits that it must keep.
+// The configuration of a gateway: request classes, service plans, and the limits that it must not exceed.
 #pragma once
 
 #include <string>
@@ -8,37 +8,38 @@
 
 namespace quota_gateway {
 
-// May a request be executed twice? kByKey: only where endpoints share its idempotency key (see DedupScope).
+// Whether a request may be executed twice. kByKey: only where endpoints recognise the same idempotency key
+// (see DedupScope).
 enum class Idempotency { kIdempotent, kByKey, kNonIdempotent };
 
-// Which endpoints recognise the same idempotency key.
+// The set of endpoints that recognise the same idempotency key.
 enum class DedupScope { kAll, kZone, kCell };
 
 // One class of requests.
 struct ClassSettings {
   std::string name;
-  Duration latency_objective = 1'000'000;  // a response within it earns the full priority weight
-  Duration client_timeout = 4'000'000;     // over all attempts
+  Duration latency_objective = 1'000'000;  // a response within this time earns the full weight
+  Duration client_timeout = 4'000'000;     // for all attempts together
   double priority_weight = 1;
-  double late_weight_fraction = 0;  // part of the weight earned after the objective but before the deadline
+  double late_weight_fraction = 0;  // of the weight, earned after the objective but before the deadline
   Idempotency idempotency = Idempotency::kNonIdempotent;
   DedupScope dedup_scope = DedupScope::kCell;
-  Duration dedup_window = 0;  // for this long an endpoint recognises an idempotency key
+  Duration dedup_window = 0;  // how long an endpoint recognises an idempotency key
   bool streamed = false;
 };
 
-// One service plan. Limits hold for each of its customers over all gateways together; 0 means no such limit.
+// One service plan. Each limit applies to one customer over all gateways together; 0 means no limit.
 struct PlanSettings {
   std::string name;
-  double rate = 0;  // units a second
+  double rate = 0;  // units per second
   double burst = 0;
   int max_concurrent_attempts = 0;
-  double hard_limit_rate = 0;  // units a second that may be forwarded, within the quota or beyond it
+  double hard_limit_rate = 0;  // units per second that may be forwarded, within or beyond the quota
   double hard_limit_burst = 0;
   double hard_limit_slack = 0;
   double priority_factor = 1;
-  double excess_weight_fraction = 0;  // part of its weight that a request forwarded beyond the quota earns
-  double excess_cost_fraction = 1;    // part of its weight that it costs
+  double excess_weight_fraction = 0;  // of its weight, earned by a request beyond the quota
+  double excess_cost_fraction = 1;    // of its weight, what such a request costs
 };
 
 // The configuration of one gateway.
@@ -47,28 +48,28 @@
   std::vector<ClassSettings> classes;
   std::vector<PlanSettings> plans;
   int gateway_count = 1;
-  int gateway_index = 0;  // of this gateway, from 0
+  int gateway_index = 0;  // index of this gateway, from 0
   Duration tick = 1'000;
-  bool has_counter = false;
+  bool has_counter = false;  // gateways share a counter service
   Duration counter_timeout = 50'000;
   Duration metering_period = 0;  // 0: no metering
   double max_request_units = 1;
-  bool endpoints_bill_units = false;  // the units of a request are an estimate until an endpoint bills it
+  bool endpoints_bill_units = false;  // a request's units are an estimate until an endpoint bills them
   int max_attempts = 1;
   Duration connect_timeout = 0;
   bool allow_probes = false;
   bool allow_cancel = false;
-  bool allow_hedging = false;  // two attempts of a request may be in flight together
+  bool allow_hedging = false;  // two attempts of one request may be in flight at once
   bool allow_retry_after = false;
   Duration max_retry_after = 0;
-  bool subscribe_to_endpoints = false;  // the endpoint list must be subscribed to
+  bool subscribe_to_endpoints = false;  // the endpoint list must be requested by SubscribeToEndpoints
   Duration max_subscribe_delay = 10'000'000;
   Duration response_grace = 0;
   Duration drain_grace = 0;
-  double slow_start_min_capacity_fraction = 1;  // of a fresh endpoint, as a part of its full capacity
+  double slow_start_min_capacity_fraction = 1;  // of the full capacity, at the start
   Duration slow_start_duration = 0;
-  double slow_start_overload_factor = 1;  // times the present capacity
-  Duration slow_start_window = 0;         // more than that factor for this long overloads a fresh endpoint
+  double slow_start_overload_factor = 1;  // multiple of the current capacity
+  Duration slow_start_window = 0;         // load above that multiple for this long overloads a fresh endpoint
 };
 
 }  // namespace quota_gateway
--- a/include/quota_gateway/time.hpp
+++ b/include/quota_gateway/time.hpp
@@ -1,14 +1,14 @@
-// Time in microseconds. Instants count on one clock that is never stepped.
+// Time in microseconds, on one clock that is never stepped.
 #pragma once
 
 #include <cstdint>
 
 namespace quota_gateway {
 
-// An instant: microseconds on the clock by which events are reported.
+// A point in time: microseconds on the clock that events are timed by.
 using TimePoint = std::int64_t;
 
-// A span: microseconds.
+// A length of time in microseconds.
 using Duration = std::int64_t;
 
 }  // namespace quota_gateway
--- a/src/decision/endpoints/endpoint.cpp
+++ b/src/decision/endpoints/endpoint.cpp
@@ -5,7 +5,7 @@
 namespace quota_gateway::decision {
 namespace {
 
-constexpr std::size_t kValuesPerSend = 2;  // time and work
+constexpr std::size_t kValuesPerSend = 2;  // sent_at and work
 
 }  // namespace
 
