--- a/src/restart/hot_restart.cpp
+++ b/src/restart/hot_restart.cpp
@@ -130,7 +130,7 @@
 
 void HotRestart::hand_over_to(const std::string& successor) {
   successor_ = successor;
-  write_state_or_retry(successor, callbacks_.begin());
+  write_state_or_retry(successor, callbacks_.begin_handover());
   report_attempts();
 }
 
--- a/src/restart/hot_restart.hpp
+++ b/src/restart/hot_restart.hpp
@@ -30,8 +30,8 @@
   struct Callbacks {
     // This process may accept clients now, from the restored state if there is one, else null.
     std::function<void(const HotRestartState*)> on_start;
-    // A successor has started: stop accepting clients and return the state for it.
-    std::function<HotRestartState()> begin;
+    // A successor has started: stops accepting clients and returns the state for it.
+    std::function<HotRestartState()> begin_handover;
     // Attempts that this process still has in flight, by customer.
     std::function<AttemptCounts()> attempts_in_flight;
     // Attempts that the predecessor still has in flight, by customer.
--- a/src/runtime/coordinator.cpp
+++ b/src/runtime/coordinator.cpp
@@ -127,7 +127,7 @@
                 if (state != nullptr) decision_loop_.push(StateRestored{*state});
                 client_listener_.listen(address, listener);
               },
-          .begin =
+          .begin_handover =
               [this] {
                 client_listener_.yield_to_successor();
                 return decision_loop_.begin_hot_restart();
