--- a/src/restart/atomic_file.hpp
+++ b/src/restart/atomic_file.hpp
@@ -1,5 +1,5 @@
-// Reads files and replaces them atomically: a reader finds either the old content or the new one,
-// whatever fails or is killed in between.
+// Reads files and replaces them atomically: a reader sees either the old content or the new content, even if
+// the writer fails or is killed in between.
 #pragma once
 
 #include <string>
@@ -8,16 +8,16 @@
 namespace quota_gateway::net {
 
 enum class Durability {
-  kProcess,  // the new content survives the end of this process
-  kDurable,  // it also survives a crash of the machine, once replace_file() has succeeded
+  kUnsynced,  // the new content survives the end of this process
+  kSynced,    // it also survives a crash of the machine once replace_file() has succeeded
 };
 
-// Replaces the content of the file at `path`. On an error the file has its old content, unless the error
-// arose from making a new content durable.
+// Replaces the content of the file at `path`. Returns the error, if any. The file then keeps its old content,
+// unless the error occurred while its directory was synced: the new content is then in place.
 [[nodiscard]] std::error_code replace_file(const std::string& path, const std::string& content,
                                            Durability durability);
 
-// Returns the content of the file at `path`; empty if it cannot be read.
+// Returns the content of the file at `path`; an empty string if the file cannot be read.
 [[nodiscard]] std::string read_file(const std::string& path);
 
 }  // namespace quota_gateway::net
--- a/src/restart/disabled_endpoints.cpp
+++ b/src/restart/disabled_endpoints.cpp
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 constexpr Duration kStoreRetryInterval = 50'000;  // us
-constexpr Duration kStoreTimeout = 700'000;       // us; operators get their answer within one second
+constexpr Duration kStoreTimeout = 700'000;       // us; operators get a response within one second
 constexpr Duration kFileCheckInterval = 50'000;   // us
 
 std::optional<std::set<std::string>> parse_endpoints(const std::string& content) {
@@ -93,7 +93,7 @@
 std::error_code DisabledEndpoints::store(const std::set<std::string>& endpoints) {
   if (!is_persistent()) return {};
   const std::string content = json(endpoints).dump();
-  const std::error_code error = replace_file(path_, content, Durability::kDurable);
+  const std::error_code error = replace_file(path_, content, Durability::kSynced);
   if (!error) stored_content_ = content;
   return error;
 }
--- a/src/restart/file_descriptor.hpp
+++ b/src/restart/file_descriptor.hpp
@@ -1,4 +1,4 @@
-// Ownership of a file descriptor.
+// RAII wrapper for a file descriptor.
 #pragma once
 
 #include <unistd.h>
@@ -7,7 +7,7 @@
 
 namespace quota_gateway::net {
 
-// Closes its descriptor when it goes out of scope.
+// Owns a file descriptor and closes it on destruction.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -24,7 +24,7 @@
   [[nodiscard]] bool is_open() const { return descriptor_ != kNone; }
   [[nodiscard]] int get() const { return descriptor_; }
 
-  // Returns false, with errno set, if the system reports an error. The descriptor is released in any case.
+  // Returns false and leaves the error in errno if close(2) fails. The descriptor is released in either case.
   bool close() {
     if (!is_open()) return true;
     return ::close(std::exchange(descriptor_, kNone)) == 0;
--- a/src/restart/hot_restart.cpp
+++ b/src/restart/hot_restart.cpp
@@ -8,13 +8,16 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr Duration kClaimRetryInterval = 20'000;        // us
-constexpr Duration kOwnerCheckInterval = 20'000;        // us; the clients of a successor wait meanwhile
-constexpr Duration kStateCheckInterval = 2'000;         // us
-constexpr Duration kStateWriteRetryInterval = 10'000;   // us
-constexpr Duration kAttemptReportInterval = 50'000;     // us
-constexpr Duration kStateTimeout = 300'000;             // us, from the claim
-constexpr Duration kStateTimeoutUnclaimed = 5'000'000;  // us, while the predecessor cannot know of us
+constexpr Duration kClaimRetryInterval = 20'000;       // us
+constexpr Duration kOwnerCheckInterval = 20'000;       // us; clients of a successor wait for this check
+constexpr Duration kStateCheckInterval = 2'000;        // us
+constexpr Duration kStateWriteRetryInterval = 10'000;  // us
+constexpr Duration kAttemptReportInterval = 50'000;    // us
+
+// How long a new process waits for the state of its predecessor, counted from the claim. While no claim has
+// succeeded, the predecessor cannot know of the new process and the time is counted from start().
+constexpr Duration kStateTimeout = 300'000;             // us
+constexpr Duration kStateTimeoutUnclaimed = 5'000'000;  // us
 
 std::string make_token(const Clock& clock) {
   return std::to_string(::getpid()) + "-" + std::to_string(clock.now());
@@ -99,29 +102,29 @@
 }
 
 void HotRestart::check_predecessor_attempts() {
-  const bool expired = clock_.now() - claimed_at_ > max_attempt_duration_;
+  const bool timed_out = clock_.now() - claimed_at_ > max_attempt_duration_;
   std::optional<AttemptCounts> attempts;
-  if (expired) {
+  if (timed_out) {
     attempts.emplace();
   } else {
     attempts = files_.read_attempts(token_);
   }
   if (attempts) callbacks_.on_predecessor_attempts(*attempts);
-  const bool has_finished = attempts && attempts->empty();
-  if (has_finished) return;
+  const bool predecessor_has_finished = attempts && attempts->empty();
+  if (predecessor_has_finished) return;
   timers_.schedule_after(kAttemptReportInterval, [this] { check_predecessor_attempts(); });
 }
 
 // ---- As the predecessor ---------------------------------------------------------------------------------
 void HotRestart::check_owner() {
-  // Until the claim has succeeded owner.json may still name the predecessor of this process.
+  // Until a claim has succeeded, owner.json may still hold the token of the predecessor.
   if (is_owner_) check_for_successor();
   timers_.schedule_after(kOwnerCheckInterval, [this] { check_owner(); });
 }
 
 void HotRestart::check_for_successor() {
   if (has_successor()) {
-    if (!is_process_alive(files_.directory(), successor_)) resume();
+    if (!is_process_alive(files_.directory(), successor_)) resume_serving();
     return;
   }
   const OwnerRecord owner = files_.read_owner();
@@ -134,7 +137,7 @@
   report_attempts();
 }
 
-void HotRestart::resume() {
+void HotRestart::resume_serving() {
   successor_.clear();
   claim_or_retry();
   callbacks_.on_aborted();
--- a/src/restart/hot_restart.hpp
+++ b/src/restart/hot_restart.hpp
@@ -14,37 +14,37 @@
 
 namespace quota_gateway::net {
 
-// The offset from the steady clock to the clock of the process that serves from `directory`; no value if
-// there is no such process. Its successor continues that clock, so that the instants in the restored state
-// keep their meaning.
+// Returns the offset in microseconds from the steady clock to the clock of the process that owns `directory`;
+// std::nullopt if there is no such process. The successor continues that clock, so that the time points in
+// the restored state stay valid.
 [[nodiscard]] std::optional<Duration> predecessor_clock_offset(const std::string& directory);
 
-// The protocol between two processes, which runs over files in their shared directory:
-// - A new process writes its token to owner.json. Its predecessor finds it there, stops accepting clients and
-//   stores its state in state.json. The new process reads this and starts to serve.
-// - The predecessor reports its remaining attempts in open.json until there are none.
-// - If the successor ends, the predecessor claims owner.json again and continues to serve.
-// Where the files of a predecessor cannot be used, a process starts without restored state, as after a crash.
+// Implements the protocol between predecessor and successor, which uses files in their shared directory:
+// - A new process writes its token to owner.json. The predecessor reads the token, stops accepting clients
+//   and stores its state in state.json. The new process reads the state and starts accepting clients.
+// - The predecessor reports its attempts in flight in open.json until there are none.
+// - If the successor ends, the predecessor claims owner.json again and accepts clients again.
+// If these files cannot be used, the new process starts without restored state, as after a crash.
 class HotRestart {
  public:
   struct Callbacks {
-    // This process may accept clients now, from the restored state if there is one, else null.
+    // Called when this process may accept clients, with the restored state or null if there is none.
     std::function<void(const HotRestartState*)> on_start;
-    // A successor has started: stops accepting clients and returns the state for it.
+    // Called when a successor has started. Stops accepting clients and returns the state for the successor.
     std::function<HotRestartState()> begin_handover;
-    // Attempts that this process still has in flight, by customer.
+    // Returns the attempts that this process still has in flight, by customer.
     std::function<AttemptCounts()> attempts_in_flight;
-    // Attempts that the predecessor still has in flight, by customer.
+    // Receives the attempts that the predecessor still has in flight, by customer.
     std::function<void(const AttemptCounts&)> on_predecessor_attempts;
-    // The successor has ended: accept clients again.
+    // Called when the successor has ended. Starts accepting clients again.
     std::function<void()> on_aborted;
   };
 
-  // Attempts of the predecessor are no longer counted after `max_attempt_duration`.
+  // Attempts of the predecessor are counted as ended once `max_attempt_duration` has passed since the claim.
   HotRestart(Timers& timers, const Clock& clock, std::string directory, Duration max_attempt_duration,
              Callbacks callbacks);
 
-  // Claims the directory, and waits for the state of the predecessor if there is one.
+  // Claims the directory and, if a predecessor is running, waits for its state.
   void start();
 
  private:
@@ -56,7 +56,7 @@
   void check_owner();
   void check_for_successor();
   void hand_over_to(const std::string& successor);
-  void resume();
+  void resume_serving();
   void write_state_or_retry(const std::string& recipient, const HotRestartState& state);
   void report_attempts();
   void check_predecessor_attempts();
@@ -66,12 +66,12 @@
   const StateFiles files_;
   const Duration max_attempt_duration_;
   const Callbacks callbacks_;
-  const std::string token_;           // names this process
-  std::string successor_;             // names the process that replaces this one; empty: none
-  std::optional<LivenessLock> lock_;  // from the first claim until this process ends
-  bool is_owner_ = false;             // owner.json has named this process since the last claim
+  const std::string token_;           // identifies this process
+  std::string successor_;             // identifies the successor; empty: none
+  std::optional<LivenessLock> lock_;  // held from the first claim until this process ends
+  bool is_owner_ = false;             // whether the last write of owner.json succeeded
   bool claim_failure_logged_ = false;
-  TimePoint claimed_at_ = 0;  // until the first claim: when this process started
+  TimePoint claimed_at_ = 0;  // time of the last successful claim; before the first one, time of start()
 };
 
 }  // namespace quota_gateway::net
--- a/src/restart/inherited_listener.cpp
+++ b/src/restart/inherited_listener.cpp
@@ -13,8 +13,8 @@
 std::optional<int> parse_descriptor(std::string_view text) {
   int descriptor = -1;
   const char* end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, descriptor);
-  if (error != std::errc() || stop != end || descriptor < 0) return std::nullopt;
+  const auto [parsed_end, error] = std::from_chars(text.data(), end, descriptor);
+  if (error != std::errc() || parsed_end != end || descriptor < 0) return std::nullopt;
   return descriptor;
 }
 
--- a/src/restart/inherited_listener.hpp
+++ b/src/restart/inherited_listener.hpp
@@ -5,8 +5,8 @@
 
 namespace quota_gateway::net {
 
-// Returns the descriptor that the environment variable RELAY_LISTEN_FD names; no value if the variable is not
-// set or does not name a listening socket.
+// Returns the file descriptor given by the environment variable RELAY_LISTEN_FD; std::nullopt if the variable
+// is not set or does not refer to a listening socket.
 [[nodiscard]] std::optional<int> inherited_listener();
 
 }  // namespace quota_gateway::net
--- a/src/restart/liveness_lock.cpp
+++ b/src/restart/liveness_lock.cpp
@@ -28,7 +28,7 @@
     error.assign(errno, std::generic_category());
     return std::nullopt;
   }
-  try_lock(file);  // The token is unique to this process, so that no other process can hold this lock.
+  try_lock(file);  // The token is unique to this process, so no other process can hold this lock.
   return LivenessLock(std::move(path), std::move(file));
 }
 
--- a/src/restart/liveness_lock.hpp
+++ b/src/restart/liveness_lock.hpp
@@ -1,5 +1,5 @@
 // Lock files that show which gateway processes are running. The kernel releases a lock when its process ends,
-// however that happens, whereas a process identifier may be reused.
+// for whatever reason. A process ID would not show this reliably, as it may be reused.
 #pragma once
 
 #include <optional>
@@ -10,10 +10,10 @@
 
 namespace quota_gateway::net {
 
-// Shows, for as long as it exists, that the process named by a token is running.
+// Shows that the process identified by a token is running, for as long as this object exists.
 class LivenessLock {
  public:
-  // Returns no value, and sets `error`, if the lock file cannot be created.
+  // Returns std::nullopt and sets `error` if the lock file cannot be created.
   static std::optional<LivenessLock> acquire(const std::string& directory, const std::string& token,
                                              std::error_code& error);
 
@@ -30,7 +30,7 @@
   FileDescriptor file_;
 };
 
-// Whether the process named by `token` is running. Removes the lock file of a process that has been killed.
+// Returns whether the process identified by `token` is running. Removes the lock file of a killed process.
 [[nodiscard]] bool is_process_alive(const std::string& directory, const std::string& token);
 
 }  // namespace quota_gateway::net
--- a/src/restart/state_file.cpp
+++ b/src/restart/state_file.cpp
@@ -18,7 +18,7 @@
 }
 
 std::error_code write_json(const std::string& path, const json& content) {
-  return replace_file(path, content.dump(), Durability::kProcess);
+  return replace_file(path, content.dump(), Durability::kUnsynced);
 }
 
 }  // namespace
