--- a/src/runtime/request_forwarder.cpp
+++ b/src/runtime/request_forwarder.cpp
@@ -96,7 +96,7 @@
 
 void RequestForwarder::on_writable(RequestId id) {
   const RequestRecord* request = requests_.find(id);
-  if (request != nullptr && request->is_streamed()) upstream_.request_more({id, request->last_attempt()});
+  if (request != nullptr && request->is_streamed()) upstream_.resume_reading({id, request->last_attempt()});
 }
 
 // ---- Deadlines ------------------------------------------------------------------------------------------
@@ -133,7 +133,7 @@
 }
 
 void RequestForwarder::on_attempt_timeout(AttemptKey key) {
-  RequestRecord* request = requests_.find(key.request);
+  RequestRecord* request = requests_.find(key.request_id);
   if (request == nullptr || !request->attempt(key.attempt).in_flight) return;
   if (request->is_streamed()) {
     const TimePoint last_progress_at = std::max(request->deadline, upstream_.last_progress_at(key));
@@ -151,7 +151,7 @@
 // ---- Attempts -------------------------------------------------------------------------------------------
 void RequestForwarder::on_response_started(AttemptKey key, const AttemptResult& head,
                                            std::optional<std::uint64_t> length) {
-  RequestRecord* request = requests_.find(key.request);
+  RequestRecord* request = requests_.find(key.request_id);
   if (request == nullptr || request->is_answered()) return;
   const AttemptRecord& attempt = request->attempt(key.attempt);
   request->response = ResponseState::kStreamed;
@@ -160,7 +160,7 @@
     start_deadline(*request, timers_.now());
     schedule_attempt_timeout(key, request->deadline);
   }
-  decision_loop_.push(ResponseStarted{.id = std::to_string(key.request),
+  decision_loop_.push(ResponseStarted{.id = std::to_string(key.request_id),
                                       .attempt = key.attempt,
                                       .endpoint = attempt.endpoint,
                                       .duration = timers_.now() - attempt.sent_at,
@@ -170,12 +170,12 @@
 }
 
 void RequestForwarder::on_response_chunk(AttemptKey key, const std::string& bytes) {
-  const RequestRecord* request = requests_.find(key.request);
+  const RequestRecord* request = requests_.find(key.request_id);
   if (request != nullptr && request->is_streamed()) client_listener_.write_chunk(request->client, bytes);
 }
 
 void RequestForwarder::on_attempt_ended(AttemptKey key, AttemptResult result) {
-  RequestRecord* request = requests_.find(key.request);
+  RequestRecord* request = requests_.find(key.request_id);
   if (request == nullptr) return;
   AttemptRecord& attempt = request->attempt(key.attempt);
   if (!attempt.in_flight) return;
@@ -183,7 +183,7 @@
   --request->attempts_in_flight;
   request->last_attempt_timed_out = result.outcome == Outcome::kTimeout;
   AttemptEnded ended;
-  ended.id = std::to_string(key.request);
+  ended.id = std::to_string(key.request_id);
   ended.attempt = key.attempt;
   ended.endpoint = attempt.endpoint;
   ended.outcome = result.outcome;
--- a/src/upstream/attempt.cpp
+++ b/src/upstream/attempt.cpp
@@ -9,7 +9,7 @@
 }  // namespace
 
 std::size_t AttemptKeyHash::operator()(const AttemptKey& key) const {
-  return key.request * kAttemptsPerRequest + static_cast<unsigned>(key.attempt);
+  return key.request_id * kAttemptsPerRequest + static_cast<unsigned>(key.attempt);
 }
 
 AttemptResult result_without_response(Outcome outcome) {
--- a/src/upstream/attempt.hpp
+++ b/src/upstream/attempt.hpp
@@ -11,7 +11,7 @@
 
 // Names one attempt: the request's identifier and the attempt's position among those of the request.
 struct AttemptKey {
-  std::uint64_t request = 0;
+  std::uint64_t request_id = 0;
   int attempt = 0;
   bool operator==(const AttemptKey&) const = default;
 };
--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -209,7 +209,7 @@
   context_.observer.on_attempt_ended(shared_from_this(), std::move(result), is_reusable);
 }
 
-void Connection::request_more() {
+void Connection::resume_reading() {
   is_read_paused_ = false;
   last_progress_at_ = context_.clock.now();
   read_when_ready();
--- a/src/upstream/connection.hpp
+++ b/src/upstream/connection.hpp
@@ -33,7 +33,7 @@
   // A response that is too large to buffer has begun; its body follows in chunks.
   virtual void on_response_started(AttemptKey attempt, const AttemptResult& head,
                                    std::optional<std::uint64_t> length) = 0;
-  // A chunk of a response that has begun. Reading pauses after it until request_more().
+  // A chunk of a response that has begun. Reading pauses after it until resume_reading().
   virtual void on_response_chunk(AttemptKey attempt, std::string bytes) = 0;
   // The observer either keeps the connection (become_idle) or closes it, and then calls release_attempt().
   virtual void on_attempt_ended(const std::shared_ptr<Connection>& connection, AttemptResult result,
@@ -76,7 +76,7 @@
   // Starts an attempt on a new or idle connection. Its end is reported later, never from within this call.
   void start_attempt(AttemptKey attempt, const OutgoingRequest& request, TimePoint deadline);
   // Reads on, after a chunk of the response was delivered.
-  void request_more();
+  void resume_reading();
   // When the endpoint last sent a part of the response; now, while more is unread or reading is paused.
   [[nodiscard]] TimePoint last_progress_at() const;
   // Whether the endpoint may have received the attempt's last byte.
--- a/src/upstream/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -51,11 +51,11 @@
   return true;
 }
 
-void Upstream::request_more(AttemptKey key) {
+void Upstream::resume_reading(AttemptKey key) {
   const auto found = attempts_.find(key);
   if (found == attempts_.end()) return;
   const std::shared_ptr<Connection> connection = found->second;
-  connection->request_more();
+  connection->resume_reading();
 }
 
 TimePoint Upstream::last_progress_at(AttemptKey key) const {
--- a/src/upstream/upstream.hpp
+++ b/src/upstream/upstream.hpp
@@ -30,7 +30,7 @@
     // The last byte of an attempt is written; called once for each attempt.
     std::function<void()> on_request_written;
     // A successful response that is too large to buffer has begun; `length` is that of its body, if known.
-    // The chunks of the body follow, each but the first after a call of request_more(), and then the end of
+    // The chunks of the body follow, each but the first after a call of resume_reading(), and then the end of
     // the attempt.
     std::function<void(AttemptKey, const AttemptResult&, std::optional<std::uint64_t> length)>
         on_response_started;
@@ -61,7 +61,7 @@
   // Cancels the attempt if its last byte is not written yet. Returns whether it was cancelled.
   bool cancel_unless_written(AttemptKey key);
   // Reads on, once the client has received the last chunk of a streamed response.
-  void request_more(AttemptKey key);
+  void resume_reading(AttemptKey key);
   // When the endpoint last sent a part of the response; now, while more is unread or reading is paused.
   [[nodiscard]] TimePoint last_progress_at(AttemptKey key) const;
 
--- a/tests/upstream/response_body_test.cpp
+++ b/tests/upstream/response_body_test.cpp
@@ -136,7 +136,7 @@
   io.run_for(std::chrono::milliseconds(100));
   EXPECT_EQ(streamed_body.size(), first_chunk_size);  // nothing more is read
   client_receives = true;
-  upstream->request_more({1, 0});
+  upstream->resume_reading({1, 0});
   ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
   EXPECT_EQ(streamed_body.size(), 900'000u);
   EXPECT_EQ(results[0].second.outcome, Outcome::kOk);
--- a/tests/upstream/upstream_fixture.hpp
+++ b/tests/upstream/upstream_fixture.hpp
@@ -82,7 +82,7 @@
         .on_response_chunk =
             [this](AttemptKey key, const std::string& bytes) {
               streamed_body += bytes;
-              if (client_receives) asio::post(io, [this, key] { upstream->request_more(key); });
+              if (client_receives) asio::post(io, [this, key] { upstream->resume_reading(key); });
             }};
   }
 };
