--- a/src/upstream/attempt.cpp
+++ b/src/upstream/attempt.cpp
@@ -4,12 +4,13 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr std::uint64_t kAttemptsPerRequest = 8;  // spreads the hashes; more attempts merely collide
+// The number of attempts of a request that get hashes of their own; later ones only cause collisions.
+constexpr std::uint64_t kHashesPerRequest = 8;
 
 }  // namespace
 
 std::size_t AttemptKeyHash::operator()(const AttemptKey& key) const {
-  return key.request_id * kAttemptsPerRequest + static_cast<unsigned>(key.attempt);
+  return key.request_id * kHashesPerRequest + static_cast<unsigned>(key.attempt);
 }
 
 AttemptResult result_without_response(Outcome outcome) {
--- a/src/upstream/attempt.hpp
+++ b/src/upstream/attempt.hpp
@@ -9,7 +9,7 @@
 
 namespace quota_gateway::net {
 
-// Names one attempt: the request's identifier and the attempt's position among those of the request.
+// Identifies one attempt by the ID of its request and its index, from 0, among the attempts of that request.
 struct AttemptKey {
   std::uint64_t request_id = 0;
   int attempt = 0;
@@ -21,15 +21,15 @@
   std::size_t operator()(const AttemptKey& key) const;
 };
 
-// What an attempt yielded.
+// How an attempt ended, and what the endpoint returned and reported.
 struct AttemptResult {
   Outcome outcome = Outcome::kReset;
   LoadReport load;
-  std::string body;         // of a successful response that was buffered
-  double billed_units = 0;  // the units that the endpoint charged; 0: not reported
+  std::string body;         // the buffered body of a successful response
+  double billed_units = 0;  // charged by the endpoint; 0 if not reported
 };
 
-// The result of an attempt that ended without a usable response.
+// Returns the result of an attempt that ended without a usable response.
 AttemptResult result_without_response(Outcome outcome);
 
 }  // namespace quota_gateway::net
--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -30,8 +30,8 @@
       socket_(context.io),
       reader_(context.budget) {}
 
-void Connection::start_attempt(AttemptKey attempt, const OutgoingRequest& request, TimePoint deadline) {
-  attempt_ = attempt;
+void Connection::start_attempt(AttemptKey key, const OutgoingRequest& request, TimePoint deadline) {
+  attempt_key_ = key;
   deadline_ = deadline;
   writer_.prepare(request);
   if (state_ == State::kConnecting) {
@@ -58,12 +58,13 @@
   if (state_ != State::kConnecting) return;
   if (is_local_connect_failure(error)) return retry_connect_later();
   if (error) return end_attempt(Outcome::kConnectFailed);
-  // After a stall of this process, the client's disconnect may be handled later in this turn of the event
-  // loop. It has to come first, so that no request is sent for a client that has left.
+  // If this process was stalled, the client's disconnect may be queued behind this handler in the event loop.
+  // It has to be handled first, so that no request is sent for a client that has disconnected.
   asio::post(context_.io, [self = shared_from_this()] { self->on_connected(); });
 }
 
-// A shortage on this machine is no fault of the endpoint's, so the connect is repeated until its timeout.
+// A resource shortage on this machine is not the endpoint's fault, so the connect is retried until it times
+// out.
 void Connection::retry_connect_later() {
   ErrorCode ignored;
   socket_.close(ignored);
@@ -93,7 +94,7 @@
 
 void Connection::write_request() {
   state_ = State::kWriting;
-  // The remaining time is computed only now, because the connect may have lasted long.
+  // The remaining time is computed only now, because the connect may have taken long.
   writer_.start(deadline_ - context_.clock.now());
   reader_.start();
   is_read_paused_ = false;
@@ -101,21 +102,21 @@
   write_available_bytes();
 }
 
-// Writes the present part, and what is still to come of a large body after it. The socket is written to
-// directly, because the completion of an asynchronous write may be handled after that of a response or a
-// reset, and a request that may have executed would then count as not sent.
+// Writes the current part and then the remaining parts of a streamed body. Writes to the socket directly,
+// because the completion of an asynchronous write may be handled after a response or a reset, and a request
+// that may have executed would then count as not sent.
 void Connection::write_available_bytes() {
   while (writer_.unwritten().size() > 0) {
     ErrorCode error;
     writer_.mark_written(write_available(socket_, writer_.unwritten(), error));
     if (!error) continue;
-    auto resume = [self = shared_from_this(), attempt = attempt_](const ErrorCode& failure) {
-      self->on_write_completed(attempt, failure);
+    auto resume = [self = shared_from_this(), key = attempt_key_](const ErrorCode& failure) {
+      self->on_write_completed(key, failure);
     };
     if (error == asio::error::would_block) {
       return socket_.async_wait(tcp::socket::wait_write, std::move(resume));
     }
-    // The kernel reports a reset once; a read after it looks like an orderly close.
+    // The kernel reports a reset only once; a later read looks like an orderly close.
     was_reset_during_write_ = error == asio::error::connection_reset;
     return asio::post(context_.io, [resume = std::move(resume), error] { resume(error); });
   }
@@ -126,18 +127,18 @@
   }
 }
 
-void Connection::on_write_completed(AttemptKey attempt, const ErrorCode& error) {
-  // A response can arrive before this, and the connection may carry the next attempt by now.
-  if (state_ != State::kWriting || attempt_ != attempt) return;
-  if (error) return end_attempt(Outcome::kConnectFailed);  // the last byte was never written
+void Connection::on_write_completed(AttemptKey key, const ErrorCode& error) {
+  // The response may have been handled before this, so the connection may already carry another attempt.
+  if (state_ != State::kWriting || attempt_key_ != key) return;
+  if (error) return end_attempt(Outcome::kConnectFailed);  // the last byte was not written
   write_available_bytes();
 }
 
 void Connection::write_next_part() {
   if (writer_.is_waiting_for_body()) {
-    writer_.wait_for_body([weak_self = weak_from_this(), attempt = attempt_] {
+    writer_.wait_for_body([weak_self = weak_from_this(), key = attempt_key_] {
       const auto self = weak_self.lock();
-      if (self && self->state_ == State::kWriting && self->attempt_ == attempt) self->write_next_part();
+      if (self && self->state_ == State::kWriting && self->attempt_key_ == key) self->write_next_part();
     });
     return;
   }
@@ -151,7 +152,7 @@
   context_.observer.on_request_written();
 }
 
-// Waits until there is something to read before reading, so that all connections share one buffer.
+// Waits until the socket is readable before reading, so that all connections can share one buffer.
 void Connection::read_when_ready() {
   if (is_read_pending_ || is_read_paused_) return;
   is_read_pending_ = true;
@@ -175,7 +176,7 @@
 void Connection::on_bytes_read(std::size_t size) {
   last_progress_at_ = context_.clock.now();
   const auto on_started = [this](const AttemptResult& head, std::optional<std::uint64_t> length) {
-    context_.observer.on_response_started(attempt_, head, length);
+    context_.observer.on_response_started(attempt_key_, head, length);
     return state_ != State::kClosed;
   };
   const ResponseReader::Status status = reader_.consume({context_.read_buffer.data(), size}, on_started);
@@ -184,19 +185,19 @@
   if (status == ResponseReader::Status::kFailed) return end_attempt(reader_.take_result(), false);
   if (reader_.has_streamed_bytes()) {
     is_read_paused_ = true;
-    context_.observer.on_response_chunk(attempt_, reader_.take_streamed_bytes());
+    context_.observer.on_response_chunk(attempt_key_, reader_.take_streamed_bytes());
     if (state_ == State::kClosed) return;
   }
   if (status == ResponseReader::Status::kComplete) on_response_complete();
 }
 
 void Connection::on_response_complete() {
-  // A response that arrives before the request is written leaves the connection in the middle of it.
+  // If the response ends before the whole request is written, the connection is left in mid-request.
   const bool is_reusable = state_ == State::kAwaitingResponse && reader_.is_connection_reusable();
   end_attempt(reader_.take_result(), is_reusable);
 }
 
-// Only an orderly close ends a response without a length; a reset has cut it short.
+// Only an orderly close completes a response without a length; a reset truncates it.
 void Connection::on_connection_lost(const ErrorCode& error) {
   const bool is_orderly = error == asio::error::eof && !was_reset_during_write_;
   if (is_orderly && reader_.complete_at_close()) return on_response_complete();
@@ -235,7 +236,7 @@
   reader_.release();
 }
 
-bool Connection::is_open_and_silent() {
+bool Connection::is_still_usable() {
   char byte = 0;
   ssize_t received = 0;
   do {
--- a/src/upstream/connection.hpp
+++ b/src/upstream/connection.hpp
@@ -22,27 +22,30 @@
 
 class Connection;
 
-// Receives the events of the connections. Each call may close the connection that it comes from.
+// Receives events from connections. Every call may close the connection that made it.
 class ConnectionObserver {
  public:
   virtual ~ConnectionObserver() = default;
-  // Whether the connection's endpoint still accepts requests at the address to which it was made.
+  // Returns whether the endpoint still accepts requests at the address to which the connection was made.
   [[nodiscard]] virtual bool is_address_current(const Connection& connection) = 0;
-  // The last byte of an attempt is written.
+  // Called when the last byte of an attempt has been written.
   virtual void on_request_written() = 0;
-  // A response that is too large to buffer has begun; its body follows in chunks.
-  virtual void on_response_started(AttemptKey attempt, const AttemptResult& head,
+  // Called when a response that is too large to buffer begins; its body follows in chunks. `length` is the
+  // length of the body, or std::nullopt if it is unknown.
+  virtual void on_response_started(AttemptKey key, const AttemptResult& head,
                                    std::optional<std::uint64_t> length) = 0;
-  // A chunk of a response that has begun. Reading pauses after it until resume_reading().
-  virtual void on_response_chunk(AttemptKey attempt, std::string bytes) = 0;
-  // The observer either keeps the connection (become_idle) or closes it, and then calls release_attempt().
+  // Called with a chunk of such a body. Reading then pauses until resume_reading() is called.
+  virtual void on_response_chunk(AttemptKey key, std::string bytes) = 0;
+  // Called when an attempt ends. The observer either keeps the connection (become_idle()) or closes it, and
+  // then calls release_attempt().
   virtual void on_attempt_ended(const std::shared_ptr<Connection>& connection, AttemptResult result,
                                 bool is_reusable) = 0;
-  // The endpoint closed an idle connection or sent something on it; the observer closes it.
+  // Called when the endpoint closes an idle connection or sends data on it. The observer closes the
+  // connection.
   virtual void on_idle_connection_lost(Connection& connection) = 0;
 };
 
-// What all connections share.
+// State that all connections share.
 struct ConnectionContext {
   boost::asio::io_context& io;
   Timers& timers;
@@ -50,17 +53,17 @@
   BodyBudget& budget;
   ConnectionObserver& observer;
   Duration connect_timeout = 0;
-  std::vector<char> read_buffer;  // what was just read, on any connection
+  std::vector<char> read_buffer;  // the bytes of the latest read on any connection
 };
 
-// A TCP connection to an endpoint. Handlers of its socket and timers may run after it was closed, or once it
-// carries another attempt, so each of them checks the state first.
+// A TCP connection to an endpoint. Handlers of its socket and timers may run after the connection was closed
+// or has started another attempt, so each of them checks the state first.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   enum class State {
     kConnecting,
-    kWriting,           // the request, while the response is already read
-    kAwaitingResponse,  // the last byte is written
+    kWriting,           // writing the request; the response is read at the same time
+    kAwaitingResponse,  // the last byte of the request is written
     kIdle,
     kClosed
   };
@@ -70,27 +73,29 @@
   [[nodiscard]] State state() const { return state_; }
   [[nodiscard]] const std::string& endpoint() const { return endpoint_; }
   [[nodiscard]] const boost::asio::ip::tcp::endpoint& address() const { return address_; }
-  [[nodiscard]] AttemptKey attempt() const { return attempt_; }
+  [[nodiscard]] AttemptKey attempt_key() const { return attempt_key_; }
   [[nodiscard]] TimePoint idle_since() const { return idle_since_; }
 
   // Starts an attempt on a new or idle connection. Its end is reported later, never from within this call.
-  void start_attempt(AttemptKey attempt, const OutgoingRequest& request, TimePoint deadline);
-  // Reads on, after a chunk of the response was delivered.
+  void start_attempt(AttemptKey key, const OutgoingRequest& request, TimePoint deadline);
+  // Continues reading after a chunk of the response has been delivered.
   void resume_reading();
-  // When the endpoint last sent a part of the response; now, while more is unread or reading is paused.
+  // Returns when the response last made progress: the current time while received bytes are unread or reading
+  // is paused, otherwise the time when bytes were last read or reading was resumed.
   [[nodiscard]] TimePoint last_progress_at() const;
-  // Whether the endpoint may have received the attempt's last byte.
+  // Returns whether the endpoint may have received the last byte of the request.
   [[nodiscard]] bool may_have_executed() const;
 
-  // Keeps the open connection for a later attempt.
+  // Marks the open connection as idle, ready for a later attempt.
   void become_idle();
-  // Frees what the last attempt occupied.
+  // Frees the buffers of the last attempt and releases its upload.
   void release_attempt();
-  // Whether an idle connection is still open and silent, as far as this machine knows.
-  [[nodiscard]] bool is_open_and_silent();
-  // Makes close() reset the connection, so that the endpoint does not execute what is still on its way.
+  // Returns whether an idle connection can be used: the endpoint has neither closed it nor sent data on it,
+  // as far as this machine's kernel knows.
+  [[nodiscard]] bool is_still_usable();
+  // Makes close() reset the connection, so that the endpoint does not execute a request still in transit.
   void reset_on_close();
-  // Closes the socket. Only the pool calls this, because it counts the open connections.
+  // Closes the socket. Only the pool may call this, because it counts the open connections.
   void close();
 
  private:
@@ -105,7 +110,7 @@
 
   void write_request();
   void write_available_bytes();
-  void on_write_completed(AttemptKey attempt, const ErrorCode& error);
+  void on_write_completed(AttemptKey key, const ErrorCode& error);
   void write_next_part();
   void on_request_written();
 
@@ -123,16 +128,16 @@
   const boost::asio::ip::tcp::endpoint address_;
   boost::asio::ip::tcp::socket socket_;
   State state_ = State::kConnecting;
-  AttemptKey attempt_;
+  AttemptKey attempt_key_;
   TimePoint deadline_ = 0;  // of the attempt
   RequestWriter writer_;
   ResponseReader reader_;
   TimePoint last_progress_at_ = 0;
   TimePoint idle_since_ = 0;
-  bool is_read_pending_ = false;            // a wait for the socket to become readable
-  bool is_read_paused_ = false;             // until the client has received the last chunk
-  bool has_local_connect_failure_ = false;  // the last connect failed here, not at the endpoint
-  bool was_reset_during_write_ = false;     // by the endpoint
+  bool is_read_pending_ = false;            // waiting for the socket to become readable
+  bool is_read_paused_ = false;             // until the client has received the latest chunk
+  bool has_local_connect_failure_ = false;  // the last connect failed because of this machine
+  bool was_reset_during_write_ = false;     // the endpoint reset the connection
 };
 
 }  // namespace quota_gateway::net
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -1,4 +1,4 @@
-// Bookkeeping of endpoints and their connections.
+// Endpoint updates, and reuse and eviction of connections.
 #include "upstream/connection_pool.hpp"
 
 #include <algorithm>
@@ -8,16 +8,18 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr double kIdleTimeoutShare = 0.4;  // endpoints may close idle connections before their timeout
-// An endpoint may send a second response some milliseconds after the first, by mistake.
-constexpr Duration kSettleTime = 20'000;       // us
-constexpr Duration kRetireInterval = 500'000;  // us
+// Longest idle time as a fraction of the endpoints' idle timeout. Endpoints may close idle connections before
+// that timeout.
+constexpr double kMaxIdleFraction = 0.4;
+// A faulty endpoint may send a second response some milliseconds after the first.
+constexpr Duration kMinIdleBeforeReuse = 20'000;  // us
+constexpr Duration kEvictionInterval = 500'000;   // us
 
 }  // namespace
 
 ConnectionPool::ConnectionPool(ConnectionContext& context, const UpstreamLimits& limits)
     : context_(context), limits_(limits) {
-  retire_idle_periodically();
+  evict_idle_periodically();
 }
 
 void ConnectionPool::update_endpoints(const DiscoveryUpdate& update) {
@@ -59,7 +61,7 @@
   endpoint.is_up = update.entry.state == EndpointState::kUp && has_address;
   endpoint.started_at = update.entry.started_at;
   if (has_address) endpoint.address = update.address;
-  // Connections to a process that has vanished may stay open and silent.
+  // Connections to a process that has gone away may stay open without ever answering.
   if (is_moved || is_restarted) close_idle(endpoint);
 }
 
@@ -71,7 +73,7 @@
   }
   const auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end()) return;
-  close_idle(found->second);  // a disabled endpoint is usually restarted
+  close_idle(found->second);  // the endpoint is usually restarted while it is disabled
 }
 
 ConnectionPool::Endpoint* ConnectionPool::find_available(const std::string& name) {
@@ -89,20 +91,21 @@
   Endpoint* const available = find_available(endpoint);
   if (!available) return nullptr;
   if (auto idle = take_idle(*available)) return idle;
-  if (!make_room()) return nullptr;
+  if (!ensure_capacity()) return nullptr;
   ++open_connections_;
   return std::make_shared<Connection>(context_, endpoint, available->address);
 }
 
-// Takes the connection that was used last. One that was used a moment ago is skipped: a second response
-// to its last request would be matched to the next request.
+// Takes the most recently used idle connection and closes unusable ones that it comes across. Skips
+// connections that were used a moment ago, because a second response to their last request would be matched
+// to the next request.
 std::shared_ptr<Connection> ConnectionPool::take_idle(Endpoint& endpoint) {
   for (std::size_t i = endpoint.idle_connections.size(); i-- > 0;) {
     std::shared_ptr<Connection> connection = endpoint.idle_connections[i];
     const Duration idle_time = context_.clock.now() - connection->idle_since();
-    if (!connection->is_open_and_silent() || is_idle_too_long(idle_time)) {
+    if (!connection->is_still_usable() || is_idle_too_long(idle_time)) {
       close(*connection);
-    } else if (idle_time >= kSettleTime) {
+    } else if (idle_time >= kMinIdleBeforeReuse) {
       remove_from_idle(*connection);
       return connection;
     }
@@ -110,8 +113,8 @@
   return nullptr;
 }
 
-// Makes sure that one more connection may be opened, if need be by closing the one that was idle longest.
-bool ConnectionPool::make_room() {
+// Returns whether one more connection may be opened. At the limit, closes the one that was idle longest.
+bool ConnectionPool::ensure_capacity() {
   if (open_connections_ < limits_.max_connections) return true;
   std::shared_ptr<Connection> oldest;
   for (const auto& [name, endpoint] : endpoints_) {
@@ -156,11 +159,11 @@
 }
 
 bool ConnectionPool::is_idle_too_long(Duration idle_time) const {
-  return static_cast<double>(idle_time) >= kIdleTimeoutShare * static_cast<double>(limits_.idle_timeout);
+  return static_cast<double>(idle_time) >= kMaxIdleFraction * static_cast<double>(limits_.idle_timeout);
 }
 
-// Closes the connections that their endpoints are about to close.
-void ConnectionPool::retire_idle_periodically() {
+// Closes idle connections before their endpoints do.
+void ConnectionPool::evict_idle_periodically() {
   const TimePoint now = context_.clock.now();
   for (auto& [name, endpoint] : endpoints_) {
     auto& idle = endpoint.idle_connections;
@@ -169,7 +172,7 @@
       close(*connection);
     }
   }
-  context_.timers.schedule_after(kRetireInterval, [this] { retire_idle_periodically(); });
+  context_.timers.schedule_after(kEvictionInterval, [this] { evict_idle_periodically(); });
 }
 
 }  // namespace quota_gateway::net
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -1,4 +1,4 @@
-// The endpoints that are known, their idle connections, and the limit on all connections.
+// The known endpoints, their idle connections, and the limit on all connections.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,30 +17,32 @@
 
 // Limits on the connections to endpoints.
 struct UpstreamLimits {
-  Duration idle_timeout = 15'000'000;  // us; an endpoint closes a connection that was idle for so long
+  Duration idle_timeout = 15'000'000;  // us; endpoints close a connection that was idle for this long
   Duration connect_timeout = 250'000;  // us
   std::size_t max_connections = 400;
 };
 
-// Hands out connections to endpoints and keeps those that can be used again.
+// Hands out connections to endpoints and keeps idle ones for reuse.
 class ConnectionPool {
  public:
   ConnectionPool(ConnectionContext& context, const UpstreamLimits& limits);
 
-  // Applies a change of the endpoint list. Idle connections to endpoints that have left, moved or restarted
-  // are closed.
+  // Applies an update of the endpoint list. Closes idle connections to endpoints that were removed, moved or
+  // restarted.
   void update_endpoints(const DiscoveryUpdate& update);
-  // Sends nothing more to an endpoint that is administratively disabled, whatever the endpoint list says.
+  // Disables or enables an endpoint administratively, and closes its idle connections. No connection to a
+  // disabled endpoint is handed out, whatever the endpoint list says.
   void set_disabled(const std::string& endpoint, bool disabled);
-  // Whether the endpoint list contains the endpoint.
+  // Returns whether the endpoint list contains the endpoint.
   [[nodiscard]] bool is_known(const std::string& endpoint) const { return endpoints_.contains(endpoint); }
-  // Whether the connection's endpoint accepts requests at the address to which the connection was made.
+  // Returns whether the connection's endpoint accepts requests at the address to which the connection was
+  // made.
   [[nodiscard]] bool is_address_current(const Connection& connection);
 
-  // An idle connection, or a new one that is yet to connect. None if the endpoint accepts no requests or the
-  // limit on connections is reached.
+  // Returns an idle connection or a new one that is not connected yet, or nullptr if the endpoint accepts no
+  // requests or the limit on connections is reached.
   std::shared_ptr<Connection> acquire(const std::string& endpoint);
-  // Takes back a connection whose attempt has ended, and closes it if it can't be used again.
+  // Takes back a connection whose attempt has ended. Keeps it if it can be reused, otherwise closes it.
   void release(const std::shared_ptr<Connection>& connection, bool is_reusable);
   // Closes a connection in any state.
   void close(Connection& connection);
@@ -51,7 +53,7 @@
     bool is_up = false;
     TimePoint started_at = 0;
     boost::asio::ip::tcp::endpoint address;
-    std::vector<std::shared_ptr<Connection>> idle_connections;  // the last used at the end
+    std::vector<std::shared_ptr<Connection>> idle_connections;  // the most recently used one is last
   };
 
   void remove_unlisted(const DiscoveryUpdate& update);
@@ -59,16 +61,16 @@
   void update_endpoint(const DiscoveredEndpoint& update);
   Endpoint* find_available(const std::string& name);
   std::shared_ptr<Connection> take_idle(Endpoint& endpoint);
-  bool make_room();
+  bool ensure_capacity();
   void close_idle(Endpoint& endpoint);
   void remove_from_idle(const Connection& connection);
   [[nodiscard]] bool is_idle_too_long(Duration idle_time) const;
-  void retire_idle_periodically();
+  void evict_idle_periodically();
 
   ConnectionContext& context_;
   const UpstreamLimits limits_;
   std::map<std::string, Endpoint> endpoints_;
-  std::set<std::string> disabled_;    // administratively; may name endpoints that are not listed
+  std::set<std::string> disabled_;    // administratively; may contain endpoints that are not listed
   std::size_t open_connections_ = 0;  // in any state but closed
 };
 
--- a/src/upstream/load_report.cpp
+++ b/src/upstream/load_report.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view kFormatPrefix = "TEXT ";
 
-// A name that endpoints use for a figure of the load report. Kinds of endpoints differ in their names.
+// A name under which endpoints report a load metric. Different kinds of endpoints use different names.
 struct LoadField {
   std::string_view name;
   double LoadReport::*field;
@@ -32,7 +32,8 @@
                                                  {"eps", &LoadReport::errors_per_s},
                                                  {"err_rps", &LoadReport::errors_per_s}}};
 
-// Parses the number at the start of a value; what follows it, such as a unit, is ignored.
+// Parses the number at the start of a value and ignores what follows it, such as a unit. Returns std::nullopt
+// if there is no number, or if it is negative or not finite.
 std::optional<double> parse_load_value(std::string_view text) {
   double value = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -40,7 +41,7 @@
   return value;
 }
 
-// Parses one "name=value" entry into the report.
+// Parses one "name=value" entry into the report; ignores an unknown name or an invalid value.
 void parse_load_entry(std::string_view entry, LoadReport& load) {
   entry.remove_prefix(std::min(entry.find_first_not_of(' '), entry.size()));
   const auto equals = entry.find('=');
--- a/src/upstream/load_report.hpp
+++ b/src/upstream/load_report.hpp
@@ -7,11 +7,11 @@
 
 namespace quota_gateway::net {
 
-// Parses a load header such as "TEXT inflight=7, queue=2, util=0.61". Unknown names and invalid values count
+// Parses a load header such as "TEXT inflight=7, queue=2, util=0.61". Ignores unknown names; invalid values count
 // as not reported.
 LoadReport parse_load_report(std::string_view header);
 
-// Parses the units that an endpoint charged for a request. Returns 0, not reported, for an invalid value.
+// Returns the units that an endpoint charged for a request, or 0 (not reported) if the value is invalid.
 double parse_billed_units(std::string_view header);
 
 }  // namespace quota_gateway::net
--- a/src/upstream/request_writer.cpp
+++ b/src/upstream/request_writer.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxChunkHeaderSize = 24;  // bytes; a 64-bit size in hexadecimal and a line end
 constexpr const char* kLastChunk = "0\r\n\r\n";
 
-// Frames a part of the body as a chunk; an empty part gives no chunk, as that would end the body.
+// Frames a part of the body as a chunk. Leaves an empty part empty, because an empty chunk ends the body.
 void frame_as_chunk(std::string& part) {
   if (part.empty()) return;
   std::array<char, kMaxChunkHeaderSize> header{};
@@ -19,8 +19,8 @@
   part.insert(0, header.data()).append("\r\n");
 }
 
-// The header that delimits the request's body; empty for a request that cannot have one.
-std::string body_header(const OutgoingRequest& request) {
+// Returns the header that delimits the request's body, or an empty string for a GET request without a body.
+std::string body_framing_header(const OutgoingRequest& request) {
   if (request.upload) {
     const auto length = request.upload->length();
     if (!length) return "\r\nTransfer-Encoding: chunked";
@@ -41,13 +41,13 @@
   if (!request.idempotency_key.empty()) {
     head_.append("\r\nIdempotency-Key: ").append(request.idempotency_key);
   }
-  part_ = body_header(request);
+  part_ = body_framing_header(request);
   part_.append("\r\n\r\n").append(request.body);
 }
 
 void RequestWriter::start(Duration time_left) {
   part_.insert(0, head_ + "\r\nX-Expires-In: " + std::to_string(time_left) + "u");
-  written_ = 0;
+  written_size_ = 0;
   is_last_part_ = !upload_;
 }
 
@@ -57,7 +57,9 @@
   upload_.reset();
 }
 
-boost::asio::const_buffer RequestWriter::unwritten() const { return boost::asio::buffer(part_) + written_; }
+boost::asio::const_buffer RequestWriter::unwritten() const {
+  return boost::asio::buffer(part_) + written_size_;
+}
 
 bool RequestWriter::is_waiting_for_body() const { return upload_->size() == 0 && !upload_->is_finished(); }
 
@@ -72,7 +74,7 @@
     frame_as_chunk(part_);
     if (is_last_part_) part_ += kLastChunk;
   }
-  written_ = 0;
+  written_size_ = 0;
 }
 
 }  // namespace quota_gateway::net
--- a/src/upstream/response_reader.cpp
+++ b/src/upstream/response_reader.cpp
@@ -17,8 +17,8 @@
 
 constexpr std::uint32_t kMaxHeaderSize = 16 << 10;  // bytes
 
-// An overloaded endpoint did not execute the request only if it says so: a plain 503 or 504 may come from an
-// endpoint that did the work.
+// A 503 or 504 proves that the request was not executed only if the endpoint says so; a plain one may come
+// from an endpoint that executed it.
 Outcome classify_response(const Response& response) {
   const http::status status = response.result();
   if (status == http::status::ok) return Outcome::kOk;
@@ -28,8 +28,8 @@
   return is_overload_status && is_proven_unexecuted ? Outcome::kOverloaded : Outcome::kError;
 }
 
-// The result that a response's status and headers give.
-AttemptResult result_of_head(const Response& response) {
+// Returns the result according to the status and headers of a response.
+AttemptResult result_from_head(const Response& response) {
   const auto load = response["Endpoint-Load-Metrics"];
   const auto billed_units = response["Billed-Units"];
   AttemptResult result;
@@ -46,18 +46,18 @@
 
 }  // namespace
 
-ResponseReader::ResponseReader(BodyBudget& budget) : budget_(budget), buffered_(budget) {}
+ResponseReader::ResponseReader(BodyBudget& budget) : budget_(budget), budget_share_(budget) {}
 
 void ResponseReader::start() {
   body_.clear();
-  streamed_bytes_ = 0;
+  delivered_size_ = 0;
   is_streaming_ = false;
   expect_response();
 }
 
 void ResponseReader::release() {
   parser_.reset();
-  buffered_.set(0);
+  budget_share_.set(0);
   body_ = {};
 }
 
@@ -72,42 +72,42 @@
   unparsed_.append(bytes);
   while (!unparsed_.empty() && !parser_->is_done()) {
     error_code error;
-    const std::size_t used = put(*parser_, unparsed_, body_, error);
-    unparsed_.erase(0, used);
+    const std::size_t consumed = put(*parser_, unparsed_, body_, error);
+    unparsed_.erase(0, consumed);
     if (error && error != http::error::need_more) return Status::kInvalid;
     if (parser_->is_header_done()) {
-      const Status status = update_body_mode(on_started);
+      const Status status = apply_body_limits(on_started);
       if (status != Status::kIncomplete) return status;
     }
     if (error == http::error::need_more) {
-      // The parser does not limit a chunk's extension, which an endpoint may send without end.
+      // The parser does not limit the size of a chunk extension, which may be endless.
       if (unparsed_.size() > kMaxHeaderSize) return Status::kInvalid;
       break;
     }
     if (is_interim_response()) {
       expect_response();
-    } else if (used == 0) {
+    } else if (consumed == 0) {
       break;
     }
   }
   return parser_->is_done() ? Status::kComplete : Status::kIncomplete;
 }
 
-// A small body is buffered, so that the request can be retried if the rest of it fails to come; a larger one
-// of a successful response is streamed.
-ResponseReader::Status ResponseReader::update_body_mode(const StartedCallback& on_started) {
-  // The parser's own limit lets an announced length pass, and an endpoint may send without end.
+// Buffers a small body, so that the request can be retried if the rest of the body does not arrive. Starts to
+// stream a larger one if the response is successful.
+ResponseReader::Status ResponseReader::apply_body_limits(const StartedCallback& on_started) {
+  // The parser's own limit lets an announced length pass, and an endpoint may send an endless body.
   const auto length = to_std_optional(parser_->content_length());
-  const std::uint64_t size = std::max<std::uint64_t>(length.value_or(0), streamed_bytes_ + body_.size());
+  const std::uint64_t size = std::max<std::uint64_t>(length.value_or(0), delivered_size_ + body_.size());
   if (size > kMaxBodySize) return Status::kInvalid;
   if (is_streaming_) return Status::kIncomplete;
-  buffered_.set(body_.size());
+  budget_share_.set(body_.size());
   const bool is_complete_and_small = parser_->is_done() && size <= kBufferedBodyLimit;
   if (size <= budget_.buffered_body_limit() || is_complete_and_small) return Status::kIncomplete;
-  const AttemptResult head = result_of_head(parser_->get());
+  const AttemptResult head = result_from_head(parser_->get());
   if (head.outcome != Outcome::kOk) return Status::kFailed;
   is_streaming_ = true;
-  buffered_.set(0);
+  budget_share_.set(0);
   return on_started(head, length) ? Status::kIncomplete : Status::kAborted;
 }
 
@@ -124,12 +124,12 @@
 }
 
 std::string ResponseReader::take_streamed_bytes() {
-  streamed_bytes_ += body_.size();
+  delivered_size_ += body_.size();
   return std::exchange(body_, {});
 }
 
 AttemptResult ResponseReader::take_result() {
-  AttemptResult result = result_of_head(parser_->get());
+  AttemptResult result = result_from_head(parser_->get());
   if (result.outcome == Outcome::kOk) result.body = std::move(body_);
   return result;
 }
--- a/src/upstream/response_reader.hpp
+++ b/src/upstream/response_reader.hpp
@@ -17,54 +17,54 @@
 // Reads the response to one attempt at a time. It performs no I/O.
 class ResponseReader {
  public:
-  // What the bytes that were consumed amount to.
+  // The state of the response after the bytes consumed so far.
   enum class Status {
-    kIncomplete,  // more bytes have to come
+    kIncomplete,  // more bytes are needed
     kComplete,
     kInvalid,  // not HTTP, or larger than allowed
     kFailed,   // an error response whose body is too large to buffer; the rest of it is not needed
-    kAborted   // the attempt was ended by `on_started`
+    kAborted   // `on_started` ended the attempt
   };
-  // Called with the result so far and the length of the body, if known, when a body begins to be streamed.
-  // Returns whether the attempt goes on.
+  // Called when streaming of a body starts, with the result so far and the length of the body, or
+  // std::nullopt if it is unknown. Returns whether the attempt continues.
   using StartedCallback = std::function<bool(const AttemptResult& head, std::optional<std::uint64_t> length)>;
 
   explicit ResponseReader(BodyBudget& budget);
 
-  // Starts over, for the response to the next request.
+  // Prepares for the response to the next request.
   void start();
   // Frees the buffers at the end of the attempt.
   void release();
 
-  // Parses bytes that were read from the connection.
+  // Parses bytes that were read from the connection and returns the state of the response.
   Status consume(std::string_view bytes, const StartedCallback& on_started);
-  // Reports an orderly close by the endpoint. Returns whether it completes the response: only a response
-  // without a length ends in this way.
+  // Handles an orderly close by the endpoint. Returns whether it completes the response, as it does only for
+  // a response without a length.
   bool complete_at_close();
 
-  // Whether the client has received a part of the response, or is about to.
+  // Returns whether the response is streamed: the client has received a part of it, or is about to.
   [[nodiscard]] bool is_streaming() const { return is_streaming_; }
   [[nodiscard]] bool has_streamed_bytes() const { return is_streaming_ && !body_.empty(); }
-  // Takes what there is to stream to the client.
+  // Takes the bytes that are ready to be streamed to the client.
   std::string take_streamed_bytes();
-  // The result of a complete or failed response, with its buffered body if it was successful.
+  // Returns the result of a complete or failed response, with its buffered body if it was successful.
   AttemptResult take_result();
-  // Whether the response leaves the connection ready for another request.
+  // Returns whether the response leaves the connection ready for another request.
   [[nodiscard]] bool is_connection_reusable() const;
 
  private:
   using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
   void expect_response();
-  Status update_body_mode(const StartedCallback& on_started);
+  Status apply_body_limits(const StartedCallback& on_started);
   [[nodiscard]] bool is_interim_response() const;
 
   BodyBudget& budget_;
-  BodyBudget::Share buffered_;
+  BodyBudget::Share budget_share_;
   std::optional<Parser> parser_;
   std::string unparsed_;
-  std::string body_;                  // buffered, or not yet delivered to the client
-  std::uint64_t streamed_bytes_ = 0;  // delivered to the client
+  std::string body_;                  // buffered, or not yet taken for delivery to the client
+  std::uint64_t delivered_size_ = 0;  // bytes of the body taken for delivery to the client
   bool is_streaming_ = false;
 };
 
--- a/src/upstream/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -80,7 +80,7 @@
 
 void Upstream::on_attempt_ended(const std::shared_ptr<Connection>& connection, AttemptResult result,
                                 bool is_reusable) {
-  const AttemptKey key = connection->attempt();
+  const AttemptKey key = connection->attempt_key();
   attempts_.erase(key);
   pool_.release(connection, is_reusable);
   connection->release_attempt();
--- a/src/upstream/upstream.hpp
+++ b/src/upstream/upstream.hpp
@@ -1,4 +1,4 @@
-// The attempts that are under way at the endpoints. Routes between the coordinator and the connections.
+// The attempts in flight, each with its connection to an endpoint.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,18 +23,18 @@
 // Sends attempts to endpoints and reports how they end.
 class Upstream : private ConnectionObserver {
  public:
-  // What is reported to the owner. Callbacks may send and cancel attempts.
+  // Notifications to the owner. Callbacks may send and cancel attempts.
   struct Callbacks {
-    // An attempt has ended, other than by cancellation.
+    // Called when an attempt has ended other than by cancellation.
     std::function<void(AttemptKey, AttemptResult)> on_attempt_ended;
-    // The last byte of an attempt is written; called once for each attempt.
+    // Called when the last byte of an attempt has been written; once per attempt.
     std::function<void()> on_request_written;
-    // A successful response that is too large to buffer has begun; `length` is that of its body, if known.
-    // The chunks of the body follow, each but the first after a call of resume_reading(), and then the end of
-    // the attempt.
+    // Called when a successful response that is too large to buffer begins; `length` is the length of its
+    // body, or std::nullopt if it is unknown. The chunks of the body follow, each but the first after a call
+    // of resume_reading(), and then the end of the attempt.
     std::function<void(AttemptKey, const AttemptResult&, std::optional<std::uint64_t> length)>
         on_response_started;
-    // A chunk of the body of such a response.
+    // Called with a chunk of the body of such a response.
     std::function<void(AttemptKey, std::string bytes)> on_response_chunk;
   };
 
@@ -47,22 +47,24 @@
   Upstream& operator=(Upstream&&) = delete;
   ~Upstream() override = default;
 
-  // Applies a change of the endpoint list.
+  // Applies an update of the endpoint list.
   void update_endpoints(const DiscoveryUpdate& update);
-  // Sends nothing more to an endpoint that is administratively disabled, whatever the endpoint list says.
+  // Disables or enables an endpoint administratively. No new attempt is sent to a disabled endpoint,
+  // whatever the endpoint list says.
   void set_disabled(const std::string& endpoint, bool disabled);
-  // Whether the endpoint list contains the endpoint.
+  // Returns whether the endpoint list contains the endpoint.
   [[nodiscard]] bool is_known(const std::string& endpoint) const { return pool_.is_known(endpoint); }
 
-  // Starts an attempt. One result follows, never from within this call, unless the attempt is cancelled.
+  // Starts an attempt. Unless it is cancelled, its result is reported once, never from within this call.
   void send(AttemptKey key, const std::string& endpoint, const OutgoingRequest& request, TimePoint deadline);
-  // Closes the attempt's connection. Returns whether its last byte may have been written.
+  // Cancels the attempt by closing its connection. Returns whether its last byte may have been written; false
+  // if the attempt is not in flight.
   bool cancel(AttemptKey key);
   // Cancels the attempt if its last byte is not written yet. Returns whether it was cancelled.
   bool cancel_unless_written(AttemptKey key);
-  // Reads on, once the client has received the last chunk of a streamed response.
+  // Continues reading a streamed response once the client has received the latest chunk.
   void resume_reading(AttemptKey key);
-  // When the endpoint last sent a part of the response; now, while more is unread or reading is paused.
+  // Returns when the response last made progress (see Connection), or 0 if the attempt is not in flight.
   [[nodiscard]] TimePoint last_progress_at(AttemptKey key) const;
 
  private:
--- a/tests/upstream/attempt_outcome_test.cpp
+++ b/tests/upstream/attempt_outcome_test.cpp
@@ -1,10 +1,10 @@
-// How attempts end: each row of the outcome table, against endpoints on the loopback interface.
+// Outcomes of attempts, tested with endpoints on the loopback interface.
 #include "upstream/upstream_fixture.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
 
-TEST_F(UpstreamTest, OnlyCompletelyWrittenAttemptsAreCounted) {
+TEST_F(UpstreamTest, CountsOnlyCompletelyWrittenAttempts) {
   create_upstream();
   EXPECT_EQ(send_and_wait(1).outcome, Outcome::kOk);
   EXPECT_EQ(send_and_wait(2).outcome, Outcome::kOk);
@@ -14,12 +14,12 @@
   EXPECT_EQ(written_attempts, 2);
 }
 
-TEST_F(UpstreamTest, ErrorResponseMayHaveExecuted) {
+TEST_F(UpstreamTest, ReportsErrorForAnErrorResponse) {
   EXPECT_EQ(outcome_of(reply("500 Oops")), Outcome::kError);
 }
 
-TEST_F(UpstreamTest, OverloadIsRecognisedOnlyByTheNeverRanHeader) {
-  // A plain 503 of a proxy or a busy endpoint does not prove that nothing was executed.
+TEST_F(UpstreamTest, ReportsOverloadOnlyWithTheNeverRanHeader) {
+  // A plain 503 from a proxy or a busy endpoint does not prove that the request was not executed.
   EXPECT_EQ(outcome_of(reply("503 No", "X-Never-Ran: 1\r\n")), Outcome::kOverloaded);
   EXPECT_EQ(outcome_of(reply("504 No", "X-Never-Ran: 1\r\n")), Outcome::kOverloaded);
   EXPECT_EQ(outcome_of(reply("503 No")), Outcome::kError);
@@ -28,29 +28,29 @@
   EXPECT_EQ(outcome_of(reply("500 No", "X-Never-Ran: 1\r\n")), Outcome::kError);
 }
 
-TEST_F(UpstreamTest, RefusedConnectionIsAConnectFailure) {
+TEST_F(UpstreamTest, ReportsConnectFailureWhenRefused) {
   create_upstream();
   endpoint.stop();
   EXPECT_EQ(send_and_wait(1).outcome, Outcome::kConnectFailed);
 }
 
-TEST_F(UpstreamTest, ConnectTimeoutIsAConnectFailure) {
-  // Connects to a listener with a full backlog hang, as they do to a machine that has vanished.
-  tcp::acceptor full(io, {asio::ip::address_v4::loopback(), 0}, true);
-  full.listen(0);
-  std::deque<tcp::socket> fillers;
+TEST_F(UpstreamTest, ReportsConnectFailureAfterConnectTimeout) {
+  // A connect to a listener with a full backlog hangs, like a connect to a machine that is gone.
+  tcp::acceptor full_listener(io, {asio::ip::address_v4::loopback(), 0}, true);
+  full_listener.listen(0);
+  std::deque<tcp::socket> backlog_clients;
   for (int i = 0; i < 4; ++i) {
-    fillers.emplace_back(io);
-    fillers.back().async_connect(full.local_endpoint(), [](error_code) {});
+    backlog_clients.emplace_back(io);
+    backlog_clients.back().async_connect(full_listener.local_endpoint(), [](error_code) {});
   }
   create_upstream({.connect_timeout = 50'000, .max_connections = 10});
-  endpoint_update.endpoints[0].address = full.local_endpoint();
+  endpoint_update.endpoints[0].address = full_listener.local_endpoint();
   upstream->update_endpoints(endpoint_update);
   EXPECT_EQ(send_and_wait(1).outcome, Outcome::kConnectFailed);
 }
 
-TEST_F(UpstreamTest, ConnectionLostBeforeTheLastByteIsAConnectFailure) {
-  // The request is larger than the socket buffers; the endpoint reads little and resets the connection.
+TEST_F(UpstreamTest, ReportsConnectFailureWhenLostBeforeTheLastByte) {
+  // The request is larger than the socket buffers. The endpoint resets the connection without reading it all.
   request.body.assign(32 << 20, 'x');
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   tcp::socket peer(io);
@@ -66,12 +66,12 @@
   EXPECT_EQ(send_and_wait(1).outcome, Outcome::kConnectFailed);
 }
 
-TEST_F(UpstreamTest, ConnectionLostAfterTheLastByteIsAReset) {
+TEST_F(UpstreamTest, ReportsResetWhenLostAfterTheLastByte) {
   EXPECT_EQ(outcome_of("", true), Outcome::kReset);
   EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", true), Outcome::kReset);
 }
 
-TEST_F(UpstreamTest, CancelClosesTheConnectionAndReportsWhetherItMayHaveExecuted) {
+TEST_F(UpstreamTest, CancelClosesConnectionAndReturnsWhetherItMayHaveExecuted) {
   endpoint.on_request = [](Peer&, const HttpRequest&) {};
   create_upstream();
   send(1);
@@ -83,9 +83,9 @@
   EXPECT_TRUE(results.empty());  // a cancelled attempt reports no result
 }
 
-TEST_F(UpstreamTest, CloseAfterTheLastByteIsAResetWhicheverEventIsHandledFirst) {
-  // A non-idempotent request must not be sent twice. The close of the connection is handled before the
-  // completion of the last write here.
+TEST_F(UpstreamTest, ReportsResetWhenCloseIsHandledBeforeTheLastWrite) {
+  // If the attempt counted as not sent, a non-idempotent request could be sent twice. Here the close of the
+  // connection is handled before the completion of the last write.
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   tcp::socket peer(io);
   acceptor.async_accept(peer, [](error_code) {});
@@ -109,7 +109,7 @@
   EXPECT_EQ(written_attempts, 1);
 }
 
-TEST_F(UpstreamTest, CancelOfAPartlyWrittenAttemptReportsThatItDidNotExecute) {
+TEST_F(UpstreamTest, CancelReturnsFalseForAPartlyWrittenAttempt) {
   request.body.assign(32 << 20, 'x');  // larger than the socket buffers; the endpoint reads nothing
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   tcp::socket peer(io);
--- a/tests/upstream/connection_pool_test.cpp
+++ b/tests/upstream/connection_pool_test.cpp
@@ -1,10 +1,10 @@
-// Reuse, retirement and limits of connections, and changes of the endpoint list.
+// Reuse, eviction and limits of connections, and updates of the endpoint list.
 #include "upstream/upstream_fixture.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
 
-TEST_F(UpstreamTest, IdleConnectionIsReused) {
+TEST_F(UpstreamTest, ReusesIdleConnection) {
   create_upstream();
   for (int i = 1; i <= 5; ++i) {
     EXPECT_EQ(send_and_wait(std::uint64_t(i)).outcome, Outcome::kOk);
@@ -13,8 +13,8 @@
   EXPECT_EQ(endpoint.peers.size(), 1u);
 }
 
-TEST_F(UpstreamTest, DuplicateResponseIsNotReturnedForTheNextRequest) {
-  // The connection is not reused at once, or one client would be served the response to another.
+TEST_F(UpstreamTest, DoesNotMatchDuplicateResponseToNextRequest) {
+  // If the connection were reused at once, a client would receive the response to another client's request.
   endpoint.on_request = [&](Peer& peer, const HttpRequest& received) {
     if (endpoint.requests.size() == 2) {
       endpoint.peers[0]->write(reply("200 OK", "", "duplicate"));
@@ -30,9 +30,9 @@
   EXPECT_TRUE(run_until(io, [&] { return endpoint.peers[0]->closed; }));
 }
 
-TEST_F(UpstreamTest, ConnectionClosedByTheEndpointIsNotReused) {
-  // A request written to a connection whose close is not read yet would end as a reset that may have
-  // executed, and could not be retried at another endpoint.
+TEST_F(UpstreamTest, DoesNotReuseConnectionClosedByEndpoint) {
+  // A request written to a connection whose close has not been read yet would end as a reset. As it might
+  // have executed, it could not be retried at another endpoint.
   create_upstream();
   ASSERT_EQ(send_and_wait(1).outcome, Outcome::kOk);
   endpoint.peers[0]->close();  // the event loop does not run between this and the send
@@ -41,13 +41,13 @@
   EXPECT_EQ(endpoint.requests.size(), 2u);
 }
 
-TEST_F(UpstreamTest, IdleConnectionIsClosedBeforeTheEndpointsIdleTimeout) {
+TEST_F(UpstreamTest, ClosesIdleConnectionBeforeEndpointIdleTimeout) {
   create_upstream({.idle_timeout = 500'000, .max_connections = 10});
   ASSERT_EQ(send_and_wait(1).outcome, Outcome::kOk);
   EXPECT_TRUE(run_until(io, [&] { return endpoint.peers[0]->closed; }));
 }
 
-TEST_F(UpstreamTest, ConnectionCloseHeaderPreventsReuse) {
+TEST_F(UpstreamTest, DoesNotReuseConnectionAfterCloseHeader) {
   endpoint.on_request = [](Peer& peer, const HttpRequest&) {
     peer.write(reply("200 OK", "Connection: close\r\n", "x"));
   };
@@ -57,7 +57,7 @@
   EXPECT_EQ(endpoint.peers.size(), 2u);
 }
 
-TEST_F(UpstreamTest, NothingIsSentToAnEndpointDrainedDuringTheConnect) {
+TEST_F(UpstreamTest, SendsNothingToEndpointDrainedDuringConnect) {
   // The endpoint list changes while the connect is in progress.
   create_upstream();
   send(1);
@@ -70,7 +70,7 @@
   EXPECT_TRUE(endpoint.requests.empty());
 }
 
-TEST_F(UpstreamTest, ExpiryHeaderHasTheTimeLeftOnceConnected) {
+TEST_F(UpstreamTest, ComputesRemainingTimeHeaderAfterConnect) {
   create_upstream({.connect_timeout = 10'000'000, .max_connections = 10});
   send(1);  // with 10 s until the deadline
   clock.advance(6'000'000);
@@ -80,7 +80,7 @@
   EXPECT_GT(std::stoll(time_left), 3'000'000);
 }
 
-TEST_F(UpstreamTest, NothingIsSentIfTheDeadlinePassesDuringTheConnect) {
+TEST_F(UpstreamTest, SendsNothingWhenDeadlinePassesDuringConnect) {
   create_upstream({.connect_timeout = 20'000'000, .max_connections = 10});
   send(1);
   clock.advance(10'000'001);
@@ -89,19 +89,19 @@
   EXPECT_TRUE(endpoint.requests.empty());
 }
 
-TEST_F(UpstreamTest, NothingIsSentToAnEndpointMovedDuringTheConnect) {
-  FakeEndpoint other(io);
+TEST_F(UpstreamTest, SendsNothingToEndpointMovedDuringConnect) {
+  FakeEndpoint other_endpoint(io);
   create_upstream();
   send(1);
   endpoint_update.complete = false;
-  endpoint_update.endpoints[0].address = other.address();
+  endpoint_update.endpoints[0].address = other_endpoint.address();
   upstream->update_endpoints(endpoint_update);
   ASSERT_TRUE(run_until(io, [&] { return !results.empty(); }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
   EXPECT_TRUE(endpoint.requests.empty());
 }
 
-TEST_F(UpstreamTest, NothingIsSentToARemovedOrUnknownEndpoint) {
+TEST_F(UpstreamTest, SendsNothingToRemovedOrUnknownEndpoint) {
   create_upstream();
   endpoint_update.endpoints[0].entry.state = EndpointState::kRemoved;
   upstream->update_endpoints(endpoint_update);
@@ -111,23 +111,23 @@
   EXPECT_EQ(results[1].second.outcome, Outcome::kNotSent);
 }
 
-TEST_F(UpstreamTest, RestartedOrMovedEndpointGetsNewConnections) {
-  // Connections to a machine that has vanished stay open and silent.
-  FakeEndpoint moved(io);
+TEST_F(UpstreamTest, OpensNewConnectionToRestartedOrMovedEndpoint) {
+  // Connections to a machine that is gone stay open without ever answering.
+  FakeEndpoint moved_endpoint(io);
   create_upstream();
   ASSERT_EQ(send_and_wait(1).outcome, Outcome::kOk);
   endpoint_update.endpoints[0].entry.started_at = clock.now();
   upstream->update_endpoints(endpoint_update);
   ASSERT_EQ(send_and_wait(2).outcome, Outcome::kOk);
   EXPECT_EQ(endpoint.peers.size(), 2u);
-  endpoint_update.endpoints[0].address = moved.address();
+  endpoint_update.endpoints[0].address = moved_endpoint.address();
   upstream->update_endpoints(endpoint_update);
   ASSERT_EQ(send_and_wait(3).outcome, Outcome::kOk);
-  EXPECT_EQ(moved.requests.size(), 1u);
+  EXPECT_EQ(moved_endpoint.requests.size(), 1u);
 }
 
-TEST_F(UpstreamTest, RemovedEndpointIsForgottenAndItsConnectionsClosed) {
-  // Otherwise memory would grow with each deployment.
+TEST_F(UpstreamTest, ForgetsRemovedEndpointAndClosesItsConnections) {
+  // Otherwise memory use would grow with each deployment.
   create_upstream();
   ASSERT_EQ(send_and_wait(1).outcome, Outcome::kOk);
   endpoint_update.complete = false;
@@ -144,7 +144,7 @@
   EXPECT_TRUE(upstream->is_known("b"));
 }
 
-TEST_F(UpstreamTest, NumberOfConnectionsIsLimited) {
+TEST_F(UpstreamTest, LimitsNumberOfConnections) {
   endpoint.on_request = [](Peer&, const HttpRequest&) {};
   create_upstream({.max_connections = 2});
   send(1);
--- a/tests/upstream/load_report_test.cpp
+++ b/tests/upstream/load_report_test.cpp
@@ -1,4 +1,4 @@
-// Parsing of the load header.
+// Parsing of the load report header.
 #include "upstream/load_report.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-TEST(UpstreamLoadReportTest, AllNamesOfAFigureAreRecognised) {
+TEST(UpstreamLoadReportTest, AcceptsAllNamesOfEachMetric) {
   const LoadReport first = parse_load_report("inflight=1,queue=2,util=0.3,latency_ms=4,qps=5,eps=6");
   const LoadReport second =
       parse_load_report("TEXT active=1, waiting=2, cpu=0.3, avg_ms=4, rps=5, err_rps=6");
@@ -20,7 +20,7 @@
   }
 }
 
-TEST(UpstreamLoadReportTest, InvalidEntriesCountAsNotReported) {
+TEST(UpstreamLoadReportTest, TreatsInvalidEntriesAsNotReported) {
   const LoadReport load = parse_load_report("TEXT inflight=-1, queue=x, util=inf, avg_ms, =5,, rps=7");
   EXPECT_LT(load.in_flight, 0);
   EXPECT_LT(load.queued, 0);
@@ -29,7 +29,7 @@
   EXPECT_DOUBLE_EQ(load.served_per_s, 7);
 }
 
-TEST(UpstreamLoadReportTest, EmptyHeaderReportsNothing) {
+TEST(UpstreamLoadReportTest, ReportsNothingForEmptyHeader) {
   const LoadReport load = parse_load_report("");
   EXPECT_LT(load.in_flight, 0);
   EXPECT_LT(load.errors_per_s, 0);
--- a/tests/upstream/response_body_test.cpp
+++ b/tests/upstream/response_body_test.cpp
@@ -4,7 +4,7 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-TEST_F(UpstreamTest, SuccessfulResponseReturnsBodyAndLoadReport) {
+TEST_F(UpstreamTest, ReturnsBodyAndLoadReportOfSuccessfulResponse) {
   endpoint.on_request = [](Peer& peer, const HttpRequest&) {
     peer.write(
         reply("200 OK", "Endpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61, odd=x\r\n", "body"));
@@ -25,7 +25,7 @@
   EXPECT_EQ(received.body(), "hello");
 }
 
-TEST_F(UpstreamTest, BilledUnitsAreParsedAndInvalidValuesIgnored) {
+TEST_F(UpstreamTest, ParsesBilledUnitsAndIgnoresInvalidValues) {
   const std::map<std::string, double> units_by_header = {{"3", 3},  {"2.5", 2.5}, {"", 0},
                                                          {"-1", 0}, {"inf", 0},   {"3 x", 0}};
   std::string header;
@@ -40,7 +40,7 @@
   }
 }
 
-TEST_F(UpstreamTest, ResponseWithoutLengthIsCompleteOnlyAfterAnOrderlyClose) {
+TEST_F(UpstreamTest, CompletesResponseWithoutLengthOnlyAfterOrderlyClose) {
   // A truncated response must not be served as complete, whether it is buffered or streamed.
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
   for (const std::string& body : {std::string("buffered"), std::string(100'000, 'x')}) {
@@ -58,30 +58,30 @@
       streamed_body.clear();
       create_upstream();
       send(1);
-      // All of it has been read before the connection is closed.
+      // The whole body is read before the connection is closed.
       ASSERT_TRUE(run_until(
           io, [&] { return is_sent && (body.size() < kBufferedBodyLimit || streamed_body == body); }));
       run_for(io, 1);
-      const auto before = results.size();
+      const auto previous_results = results.size();
       if (is_orderly) {
         peer->close();
       } else {
         peer->reset();
       }
-      ASSERT_TRUE(run_until(io, [&] { return results.size() > before; }));
+      ASSERT_TRUE(run_until(io, [&] { return results.size() > previous_results; }));
       EXPECT_EQ(results.back().second.outcome, is_orderly ? Outcome::kOk : Outcome::kReset);
       EXPECT_EQ(results.back().second.body, is_orderly && body.size() < kBufferedBodyLimit ? body : "");
     }
   }
 }
 
-TEST_F(UpstreamTest, ResetReportedByAWriteDoesNotCompleteAResponseWithoutLength) {
-  // The kernel reports a reset once: a read after the failed write looks like an orderly close. Both are
-  // ready in one turn of the event loop here, the write first.
+TEST_F(UpstreamTest, DoesNotCompleteResponseWithoutLengthAfterResetOnWrite) {
+  // The kernel reports a reset only once, so a read after the failed write looks like an orderly close. Here
+  // both handlers are ready in the same turn of the event loop, that of the write first.
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   tcp::socket peer(io);
   tcp::socket trigger(io);
-  tcp::socket other(io);
+  tcp::socket trigger_peer(io);
   acceptor.async_accept(peer, [](error_code) {});
   request.upload = std::make_shared<BodyUpload>(10);
   bool is_body_requested = false;
@@ -91,14 +91,14 @@
   upstream->update_endpoints(endpoint_update);
   send(1);
   ASSERT_TRUE(run_until(io, [&] { return is_body_requested && peer.is_open(); }));
-  acceptor.async_accept(other, [](error_code) {});
+  acceptor.async_accept(trigger_peer, [](error_code) {});
   trigger.connect(acceptor.local_endpoint());
-  ASSERT_TRUE(run_until(io, [&] { return other.is_open(); }));
+  ASSERT_TRUE(run_until(io, [&] { return trigger_peer.is_open(); }));
   asio::write(peer, asio::buffer(std::string_view("HTTP/1.1 200 OK\r\n\r\nhalf")));
   trigger.async_wait(tcp::socket::wait_read, [&](error_code) { request.upload->append("0123456789"); });
   while (io.poll() > 0) io.restart();
   io.restart();
-  asio::write(other, asio::buffer(std::string_view("x")));
+  asio::write(trigger_peer, asio::buffer(std::string_view("x")));
   peer.set_option(asio::socket_base::linger(true, 0));
   peer.close();
   ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
@@ -106,24 +106,24 @@
   EXPECT_EQ(results[0].second.body, "");
 }
 
-TEST_F(UpstreamTest, InvalidResponseFailsTheAttempt) {
+TEST_F(UpstreamTest, FailsAttemptOnInvalidResponse) {
   EXPECT_EQ(outcome_of("\x01\x02 nonsense\r\n\r\n"), Outcome::kReset);
   EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n"), Outcome::kReset);
   EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nX: " + std::string(100'000, 'x')), Outcome::kReset);
   EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"), Outcome::kReset);
 }
 
-TEST_F(UpstreamTest, ResponseAboveTheMaximumBodySizeFailsTheAttempt) {
+TEST_F(UpstreamTest, FailsAttemptWhenBodyExceedsMaximumSize) {
   EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + std::string(100'000, 'x')),
             Outcome::kReset);
 }
 
-TEST_F(UpstreamTest, LargeResponseIsReadAsFastAsTheClientReceivesIt) {
+TEST_F(UpstreamTest, ReadsLargeResponseAsFastAsClientReceivesIt) {
   endpoint.on_request = [](Peer& peer, const HttpRequest&) {
-    const auto all =
+    const auto response =
         std::make_shared<std::string>(reply("200 OK", "Billed-Units: 3\r\n", std::string(900'000, 'x')));
-    asio::async_write(peer.socket, asio::buffer(*all),
-                      [all, self = peer.shared_from_this()](error_code, std::size_t) {});
+    asio::async_write(peer.socket, asio::buffer(*response),
+                      [response, self = peer.shared_from_this()](error_code, std::size_t) {});
   };
   client_receives = false;
   create_upstream();
@@ -131,7 +131,7 @@
   ASSERT_TRUE(run_until(io, [&] { return !streamed_body.empty(); }));
   const auto first_chunk_size = streamed_body.size();
   EXPECT_LE(first_chunk_size, kReadSize);
-  EXPECT_EQ(started_lengths, std::vector<std::optional<std::uint64_t>>{900'000});
+  EXPECT_EQ(streamed_lengths, std::vector<std::optional<std::uint64_t>>{900'000});
   io.restart();
   io.run_for(std::chrono::milliseconds(100));
   EXPECT_EQ(streamed_body.size(), first_chunk_size);  // nothing more is read
@@ -143,25 +143,25 @@
   EXPECT_EQ(written_attempts, 1);
 }
 
-TEST_F(UpstreamTest, BuffersUnderPressureLowerTheStreamingThreshold) {
-  BodyBudget::Share other(budget);
+TEST_F(UpstreamTest, LowersStreamingThresholdUnderMemoryPressure) {
+  BodyBudget::Share other_share(budget);
   endpoint.on_request = [](Peer& peer, const HttpRequest&) {
     peer.write(reply("200 OK", "", std::string(50'000, 'x')));
   };
   create_upstream();
   EXPECT_EQ(send_and_wait(1).body.size(), 50'000u);
-  other.set(2 << 20);
+  other_share.set(2 << 20);
   EXPECT_EQ(send_and_wait(2).body.size(), 0u);
   EXPECT_EQ(streamed_body.size(), 50'000u);
 }
 
-TEST_F(UpstreamTest, EndlessChunkExtensionFailsTheAttempt) {
+TEST_F(UpstreamTest, FailsAttemptOnEndlessChunkExtension) {
   EXPECT_EQ(
       outcome_of("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5;x=" + std::string(100'000, 'x')),
       Outcome::kReset);
 }
 
-TEST_F(UpstreamTest, InterimResponsesAreSkipped) {
+TEST_F(UpstreamTest, SkipsInterimResponses) {
   EXPECT_EQ(outcome_of("HTTP/1.1 100 Continue\r\n\r\n" + reply("200 OK", "", "x")), Outcome::kOk);
 }
 
--- a/tests/upstream/upstream_fixture.hpp
+++ b/tests/upstream/upstream_fixture.hpp
@@ -1,4 +1,4 @@
-// A fixture that sends attempts to an endpoint on the loopback interface and records what is reported.
+// A test fixture that sends attempts to an endpoint on the loopback interface and records the callbacks.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 class UpstreamTest : public ::testing::Test {
  protected:
-  // Creates the upstream anew, with `endpoint` under the name "s" as the only one in the endpoint list.
+  // Replaces the upstream by a new one whose endpoint list contains only `endpoint`, under the name "s".
   void create_upstream(UpstreamLimits limits = {}) {
     upstream.emplace(io, timers, clock, limits, budget, callbacks());
     endpoint_update.complete = true;
@@ -29,7 +29,7 @@
     upstream->send({request_id, 0}, "s", request, clock.now() + kRequestTimeout);
   }
 
-  // Starts the first attempt of a request and runs the event loop until its result.
+  // Starts the first attempt of a request, runs the event loop until it ends and returns its result.
   AttemptResult send_and_wait(std::uint64_t request_id) {
     send(request_id);
     const auto expected_results = results.size() + 1;
@@ -37,7 +37,7 @@
     return results.empty() ? AttemptResult{} : results.back().second;
   }
 
-  // The outcome of an attempt to which the endpoint replies with these bytes.
+  // Returns the outcome of an attempt to which the endpoint responds with these bytes.
   Outcome outcome_of(const std::string& response, bool close = false) {
     endpoint.on_request = [=](Peer& peer, const HttpRequest&) {
       peer.write(response);
@@ -56,10 +56,10 @@
   FakeEndpoint endpoint{io};
   std::vector<std::pair<AttemptKey, AttemptResult>> results;
   BodyBudget budget{1 << 20};
-  int written_attempts = 0;     // whose last byte was written
+  int written_attempts = 0;     // attempts whose last byte was written
   bool client_receives = true;  // whether the client receives the chunks of a streamed response
   std::string streamed_body;
-  std::vector<std::optional<std::uint64_t>> started_lengths;  // of the streamed responses
+  std::vector<std::optional<std::uint64_t>> streamed_lengths;  // body lengths of the streamed responses
   std::optional<Upstream> upstream;
   OutgoingRequest request{.method = "POST",
                           .target = "/intro-request/1?q",
@@ -77,7 +77,7 @@
         .on_request_written = [this] { ++written_attempts; },
         .on_response_started =
             [this](AttemptKey, const AttemptResult&, std::optional<std::uint64_t> length) {
-              started_lengths.push_back(length);
+              streamed_lengths.push_back(length);
             },
         .on_response_chunk =
             [this](AttemptKey key, const std::string& bytes) {
