--- a/src/upstream/load_report.hpp
+++ b/src/upstream/load_report.hpp
@@ -7,8 +7,8 @@
 
 namespace quota_gateway::net {
 
-// Parses a load header such as "TEXT inflight=7, queue=2, util=0.61". Ignores unknown names; invalid values count
-// as not reported.
+// Parses a load header such as "TEXT inflight=7, queue=2, util=0.61". Ignores unknown names; invalid values
+// count as not reported.
 LoadReport parse_load_report(std::string_view header);
 
 // Returns the units that an endpoint charged for a request, or 0 (not reported) if the value is invalid.
