--- a/src/client/client_callbacks.hpp
+++ b/src/client/client_callbacks.hpp
@@ -1,4 +1,4 @@
-// What the client side reports to the owner of the requests.
+// Events that the client listener reports to the owner of the requests.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,19 @@
 
 namespace quota_gateway::net {
 
-// A client is named by the id of its connection, a request by the id that on_request() returned for it.
+// `client_id` identifies a client's connection; `request_id` is the id that on_request() returned.
 struct ClientCallbacks {
   // Takes over a client's request and returns its id.
-  std::function<std::uint64_t(std::uint64_t client, ClientRequest)> on_request;
-  // The streamed body is complete. Its last byte was still pending at `last_byte_pending_since`.
-  std::function<void(std::uint64_t request, TimePoint last_byte_pending_since)> on_body_complete;
-  // The streamed body is not complete, because its endpoint reads slowly, but the client may have sent all of
-  // it since `last_byte_pending_since`.
-  std::function<void(std::uint64_t request, TimePoint last_byte_pending_since)> on_body_lagging;
-  // The client closed its connection before it had the response.
-  std::function<void(std::uint64_t request)> on_client_disconnected;
-  // All chunks of a streamed response are written; the next one is welcome.
-  std::function<void(std::uint64_t request)> on_writable;
+  std::function<std::uint64_t(std::uint64_t client_id, ClientRequest)> on_request;
+  // The streamed body is complete. Its last byte was not yet sent at `last_byte_pending_since`.
+  std::function<void(std::uint64_t request_id, TimePoint last_byte_pending_since)> on_body_complete;
+  // The streamed body is incomplete because its endpoint reads slowly, but the client may have sent all of it
+  // after `last_byte_pending_since`.
+  std::function<void(std::uint64_t request_id, TimePoint last_byte_pending_since)> on_body_lagging;
+  // The client's connection was closed before the response was complete.
+  std::function<void(std::uint64_t request_id)> on_client_disconnected;
+  // All chunks of a streamed response so far are written; the next one may follow.
+  std::function<void(std::uint64_t request_id)> on_writable;
   // The listening socket is open.
   std::function<void()> on_listening;
 };
--- a/src/client/client_listener.cpp
+++ b/src/client/client_listener.cpp
@@ -15,17 +15,17 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr int kMaxEvictionAttempts = 4;                    // each asks the kernel about one connection
+constexpr int kMaxEvictionAttempts = 4;                    // each queries the kernel about one connection
 constexpr Duration kStallCheckInterval = 200'000;          // us
 constexpr Duration kAcceptRetryDelay = 20'000;             // us
 constexpr Duration kListenRetryDelay = 50'000;             // us
 constexpr Duration kListenFailureLogInterval = 5'000'000;  // us
-// Aborted connections that are skipped before other events are processed.
-constexpr int kMaxLostConnectionsAtOnce = 64;
+// Aborted connections that are skipped before control returns to the event loop.
+constexpr int kMaxLostConnectionsPerPass = 64;
 
 }  // namespace
 
-// NOLINTNEXTLINE(readability-function-size): one parameter for each collaborator
+// NOLINTNEXTLINE(readability-function-size): one parameter per dependency
 ClientListener::ClientListener(asio::io_context& io, Timers& timers, const Clock& clock,
                                const Settings& settings, std::size_t max_clients, BodyBudget& budget,
                                Callbacks callbacks)
@@ -36,7 +36,7 @@
                .settings = settings,
                .budget = budget,
                .callbacks = std::move(callbacks),
-               .on_session_closed = [this](std::uint64_t client) { on_session_closed(client); },
+               .on_session_closed = [this](std::uint64_t client_id) { on_session_closed(client_id); },
                .read_buffer = std::vector<char>(kReadSize)},
       acceptor_(io) {
   close_stalled_sessions();
@@ -44,7 +44,7 @@
 
 ClientListener::~ClientListener() = default;
 
-// The address may be in use, or the system short of a resource, for a moment only, so a failure is not fatal.
+// A failure is not fatal, because the address may be in use, or a system resource exhausted, only briefly.
 void ClientListener::listen(const tcp::endpoint& address, std::optional<int> inherited_socket) {
   context_.is_listener_inherited = inherited_socket.has_value();
   const error_code ec = open(address, inherited_socket);
@@ -74,8 +74,8 @@
     ec = bind_and_listen(address);
     if (ec) acceptor_.close(ignored);
   }
-  // Without this option the library skips an aborted connection and waits for the next arrival, while the
-  // rest of the backlog waits with it.
+  // Without this option, Asio skips an aborted connection and waits for the next arrival, which also delays
+  // the rest of the backlog.
   if (!ec) acceptor_.set_option(asio::socket_base::enable_connection_aborted(true), ignored);
   return ec;
 }
@@ -96,7 +96,7 @@
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
     is_accept_pending_ = false;
     if (ec) return on_accept_failed(ec);
-    // The acceptor may be closed by now; the connection was accepted before and is served.
+    // The acceptor may have been closed in the meantime; a connection accepted before that is still served.
     start_session(std::move(socket));
     accept_if_below_limit();
   });
@@ -104,11 +104,11 @@
 
 void ClientListener::on_accept_failed(error_code ec) {
   switch (classify_accept(ec)) {
-    case AcceptFailure::kCancelled:  // has no effect if the successor accepts from now on
+    case AcceptFailure::kCancelled:  // accept() does nothing if the successor accepts now
     case AcceptFailure::kConnectionLost:
       return accept();
     case AcceptFailure::kNoDescriptors:
-      evict_one();
+      evict_session();
       break;
     case AcceptFailure::kTransient:
       break;
@@ -116,10 +116,10 @@
   context_.timers.schedule_after(kAcceptRetryDelay, [this] { accept(); });
 }
 
-// At the limit one connection more is accepted, and another one evicted for it, because a request that waits
-// in the backlog uses up its client's timeout.
+// At the limit, one more connection is accepted and another is evicted to make room, because the time that a
+// request waits in the backlog counts against its client's timeout.
 void ClientListener::accept_if_below_limit() {
-  if (sessions_.size() > max_clients_) evict_one();
+  if (sessions_.size() > max_clients_) evict_session();
   if (sessions_.size() <= max_clients_) return accept();
   context_.timers.schedule_after(kAcceptRetryDelay, [this] {
     if (!is_accept_pending_ && acceptor_.is_open()) accept_if_below_limit();
@@ -127,28 +127,27 @@
 }
 
 void ClientListener::start_session(tcp::socket socket) {
-  ++last_client_;
-  const auto session = std::make_shared<ClientSession>(context_, last_client_, std::move(socket));
-  sessions_.emplace(last_client_, session);
+  ++last_client_id_;
+  const auto session = std::make_shared<ClientSession>(context_, last_client_id_, std::move(socket));
+  sessions_.emplace(last_client_id_, session);
   session->read();
 }
 
-// Closes the evictable session of the lowest priority. Sessions with data in flight, which are few, are
-// passed over.
-void ClientListener::evict_one() {
-  EvictionPriority passed_over{};
+// Closes the evictable session with the lowest priority, skipping the few sessions that have data in flight.
+void ClientListener::evict_session() {
+  EvictionPriority skipped_priority{};
   for (int attempt = 0; attempt < kMaxEvictionAttempts; ++attempt) {
-    const std::shared_ptr<ClientSession> candidate = find_eviction_candidate(passed_over);
+    const std::shared_ptr<ClientSession> candidate = find_eviction_candidate(skipped_priority);
     if (!candidate) return;
     if (!candidate->has_data_in_flight()) return candidate->close();
-    passed_over = candidate->eviction_priority();
+    skipped_priority = candidate->eviction_priority();
   }
 }
 
 std::shared_ptr<ClientSession> ClientListener::find_eviction_candidate(const EvictionPriority& above) const {
   std::shared_ptr<ClientSession> candidate;
-  for (const auto& [client, session] : sessions_) {
-    if (client == last_client_ || !session->is_evictable()) continue;
+  for (const auto& [client_id, session] : sessions_) {
+    if (client_id == last_client_id_ || !session->is_evictable()) continue;
     const EvictionPriority priority = session->eviction_priority();
     if (!(above < priority)) continue;
     if (!candidate || priority < candidate->eviction_priority()) candidate = session;
@@ -156,34 +155,34 @@
   return candidate;
 }
 
-void ClientListener::on_session_closed(std::uint64_t client) {
-  sessions_.erase(client);
+void ClientListener::on_session_closed(std::uint64_t client_id) {
+  sessions_.erase(client_id);
   accept();
 }
 
-std::shared_ptr<ClientSession> ClientListener::find(std::uint64_t client) const {
-  const auto found = sessions_.find(client);
+std::shared_ptr<ClientSession> ClientListener::find_session(std::uint64_t client_id) const {
+  const auto found = sessions_.find(client_id);
   return found == sessions_.end() ? nullptr : found->second;
 }
 
-void ClientListener::respond(std::uint64_t client, const Response& response) {
-  if (const auto session = find(client)) session->respond(response);
+void ClientListener::respond(std::uint64_t client_id, const Response& response) {
+  if (const auto session = find_session(client_id)) session->respond(response);
 }
 
-void ClientListener::start_response(std::uint64_t client, std::optional<std::uint64_t> length) {
-  if (const auto session = find(client)) session->start_response(length);
+void ClientListener::start_response(std::uint64_t client_id, std::optional<std::uint64_t> length) {
+  if (const auto session = find_session(client_id)) session->start_response(length);
 }
 
-void ClientListener::write_chunk(std::uint64_t client, const std::string& bytes) {
-  if (const auto session = find(client)) session->write_chunk(bytes);
+void ClientListener::write_chunk(std::uint64_t client_id, const std::string& bytes) {
+  if (const auto session = find_session(client_id)) session->write_chunk(bytes);
 }
 
-void ClientListener::finish_response(std::uint64_t client) {
-  if (const auto session = find(client)) session->finish_response();
+void ClientListener::finish_response(std::uint64_t client_id) {
+  if (const auto session = find_session(client_id)) session->finish_response();
 }
 
-void ClientListener::abort_response(std::uint64_t client) {
-  if (const auto session = find(client)) session->abort_response();
+void ClientListener::abort_response(std::uint64_t client_id) {
+  if (const auto session = find_session(client_id)) session->abort_response();
 }
 
 void ClientListener::yield_to_successor() {
@@ -208,20 +207,20 @@
 
 void ClientListener::stop_accepting() {
   if (!acceptor_.is_open()) return close_idle_sessions();
-  // To close the socket would reset the connections in its backlog, which may have sent requests.
+  // Closing the socket would reset the connections in its backlog, which may have sent requests.
   error_code ignored;
   acceptor_.non_blocking(true, ignored);
-  is_emptying_backlog_ = true;
-  if (!empty_backlog()) {
+  is_accepting_backlog_ = true;
+  if (!accept_backlog()) {
     context_.timers.schedule_after(kAcceptRetryDelay, [this] { stop_accepting(); });
     return;
   }
-  is_emptying_backlog_ = false;
+  is_accepting_backlog_ = false;
   acceptor_.close(ignored);
   close_idle_sessions();
 }
 
-bool ClientListener::empty_backlog() {
+bool ClientListener::accept_backlog() {
   int lost_connections = 0;
   while (true) {
     tcp::socket socket(io_);
@@ -235,23 +234,23 @@
     const AcceptFailure failure = classify_accept(ec);
     if (failure == AcceptFailure::kConnectionLost) {
       ++lost_connections;
-      if (lost_connections < kMaxLostConnectionsAtOnce) continue;
+      if (lost_connections < kMaxLostConnectionsPerPass) continue;
     }
-    if (failure == AcceptFailure::kNoDescriptors) evict_one();
+    if (failure == AcceptFailure::kNoDescriptors) evict_session();
     return false;
   }
 }
 
-// Sessions that close are erased from the map, so the loops run over a copy.
+// Closing a session erases it from the map, so this loop and the one in close_stalled_sessions() use a copy.
 void ClientListener::close_idle_sessions() {
   const auto sessions = sessions_;
-  for (const auto& [client, session] : sessions) session->close_if_idle();
+  for (const auto& [client_id, session] : sessions) session->close_if_idle();
 }
 
-// A response is complete once the client's kernel has acknowledged it; the end of this process before that
-// would reset what is under way.
+// A response is complete once the client's kernel has acknowledged it; if this process exited before that,
+// a reset would destroy the data still under way.
 bool ClientListener::is_idle() const {
-  if (is_emptying_backlog_) return false;
+  if (is_accepting_backlog_) return false;
   return std::all_of(sessions_.begin(), sessions_.end(),
                      [](const auto& entry) { return entry.second->is_settled(); });
 }
@@ -259,7 +258,7 @@
 void ClientListener::close_stalled_sessions() {
   const TimePoint now = context_.clock.now();
   const auto sessions = sessions_;
-  for (const auto& [client, session] : sessions) session->close_if_stalled(now);
+  for (const auto& [client_id, session] : sessions) session->close_if_stalled(now);
   context_.timers.schedule_after(kStallCheckInterval, [this] { close_stalled_sessions(); });
 }
 
--- a/src/client/client_listener.hpp
+++ b/src/client/client_listener.hpp
@@ -21,8 +21,8 @@
 
 namespace quota_gateway::net {
 
-// Owns the listening socket and all client connections. Health checks are answered here; every other valid
-// request is reported and awaits its response.
+// Owns the listening socket and all client connections. Answers health checks itself; reports every other
+// valid request through the callbacks and waits for its response.
 class ClientListener {
  public:
   using Callbacks = ClientCallbacks;
@@ -35,33 +35,36 @@
   ClientListener& operator=(ClientListener&&) = delete;
   ~ClientListener();
 
-  // Listens at the address, or on the inherited socket if there is one. Retries until it succeeds.
+  // Listens on `address`, or on the inherited socket if there is one. Retries until it succeeds.
   void listen(const boost::asio::ip::tcp::endpoint& address, std::optional<int> inherited_socket);
-  // The address of the open listening socket.
+  // Returns the address of the listening socket, which must be open.
   [[nodiscard]] boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Writes the response to the pending request of a client; ignored if the client has disconnected.
-  void respond(std::uint64_t client, const Response& response);
-  // Streams a response in place of respond(). Chunks follow start_response(), each but the first after
-  // on_writable(), then finish_response(). abort_response() instead of it closes the connection in a way that
-  // the client recognises as an error. Without a length the response is chunked.
-  void start_response(std::uint64_t client, std::optional<std::uint64_t> length);
-  void write_chunk(std::uint64_t client, const std::string& bytes);
-  void finish_response(std::uint64_t client);
-  void abort_response(std::uint64_t client);
+  // Writes the response to the client's pending request. Does nothing if the client has disconnected.
+  void respond(std::uint64_t client_id, const Response& response);
+  // Begins a streamed response, as an alternative to respond(). Without a length, the response is chunked if
+  // the client's HTTP version permits it.
+  void start_response(std::uint64_t client_id, std::optional<std::uint64_t> length);
+  // Adds a chunk. Every chunk but the first must wait for on_writable().
+  void write_chunk(std::uint64_t client_id, const std::string& bytes);
+  // Ends a streamed response after its last chunk.
+  void finish_response(std::uint64_t client_id);
+  // Ends a streamed response early, closing the connection in a way that the client recognises as an error.
+  void abort_response(std::uint64_t client_id);
 
-  // Leaves new connections on the inherited socket to the successor process.
+  // Closes idle connections and leaves new ones on the inherited socket to the successor process.
   void yield_to_successor();
-  // Accepts connections again after the hot restart was aborted.
+  // Accepts connections again after an aborted hot restart.
   void resume_after_hot_restart();
+  // True if the listening socket is open and the listener is not draining.
   [[nodiscard]] bool is_accepting_clients() const { return acceptor_.is_open() && !context_.is_draining; }
-  // Closes idle connections, and each other one after its present response. New connections are accepted
-  // until stop_accepting().
+  // Closes idle connections at once and every other connection after its current response. New connections
+  // are accepted until stop_accepting(), unless the listening socket is inherited.
   void drain();
-  // Accepts all connections in the backlog and closes the listening socket.
+  // Accepts all connections in the backlog, then closes the listening socket.
   void stop_accepting();
-  // Whether no request is being read, pending or being answered, every client has acknowledged its response,
-  // and no connected client has yet to send its first request.
+  // True if no request is being read, is pending or is being answered, every client has acknowledged its
+  // response, and every connected client has sent at least one request.
   [[nodiscard]] bool is_idle() const;
 
  private:
@@ -73,14 +76,14 @@
   void accept();
   void on_accept_failed(boost::system::error_code ec);
   void accept_if_below_limit();
-  // Accepts all that the backlog holds. Returns false if accepting failed and has to be tried again.
-  bool empty_backlog();
+  // Accepts every connection in the backlog. Returns false if accepting failed and must be retried.
+  bool accept_backlog();
 
-  // Sessions.
+  // Session management.
   void start_session(boost::asio::ip::tcp::socket socket);
-  [[nodiscard]] std::shared_ptr<ClientSession> find(std::uint64_t client) const;
-  void on_session_closed(std::uint64_t client);
-  void evict_one();
+  [[nodiscard]] std::shared_ptr<ClientSession> find_session(std::uint64_t client_id) const;
+  void on_session_closed(std::uint64_t client_id);
+  void evict_session();
   [[nodiscard]] std::shared_ptr<ClientSession> find_eviction_candidate(const EvictionPriority& above) const;
   void close_idle_sessions();
   void close_stalled_sessions();
@@ -90,9 +93,9 @@
   ClientSessionContext context_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::unordered_map<std::uint64_t, std::shared_ptr<ClientSession>> sessions_;
-  std::uint64_t last_client_ = 0;
+  std::uint64_t last_client_id_ = 0;
   bool is_accept_pending_ = false;
-  bool is_emptying_backlog_ = false;  // stop_accepting() has not succeeded yet
+  bool is_accepting_backlog_ = false;  // stop_accepting() was called and is being retried
   TimePoint listen_failure_logged_at_ = 0;
 };
 
--- a/src/client/client_response.hpp
+++ b/src/client/client_response.hpp
@@ -9,7 +9,7 @@
 
 struct Response {
   int status = 502;
-  Duration retry_after = 0;  // sent as Retry-After; 0: the header is left out
+  Duration retry_after = 0;  // us, sent as Retry-After; 0 omits the header
   std::string body;
 };
 
--- a/src/client/client_session.cpp
+++ b/src/client/client_session.cpp
@@ -16,16 +16,17 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// Bytes discarded of a client that never sent a valid request; reading on would cost the other clients time.
-constexpr std::size_t kMaxDiscardedOfInvalidClient = 256 << 10;
-// Interval of the checks of a client whose upload is not read.
-constexpr Duration kSuspendedCheckInterval = 10'000;  // us
+// Limit of the input discarded from a client that never sent a valid request; reading more would take time
+// from other clients.
+constexpr std::size_t kMaxDiscardedBytesOfInvalidClient = 256 << 10;
+// Interval between checks of a client whose upload is not being read.
+constexpr Duration kSuspendedReadCheckInterval = 10'000;  // us
 
 }  // namespace
 
-ClientSession::ClientSession(ClientSessionContext& context, std::uint64_t client, tcp::socket socket)
+ClientSession::ClientSession(ClientSessionContext& context, std::uint64_t client_id, tcp::socket socket)
     : context_(context),
-      client_(client),
+      client_id_(client_id),
       socket_(std::move(socket)),
       buffer_share_(context.budget),
       stall_detector_(context.clock.now()),
@@ -37,7 +38,7 @@
 }
 
 void ClientSession::read() {
-  if (state_ == State::kAwaitingResponse && upload_.is_full()) return schedule_suspended_check();
+  if (state_ == State::kAwaitingResponse && upload_.is_full()) return schedule_suspended_read_check();
   if (is_read_pending_ || !wants_data()) return;
   is_read_pending_ = true;
   socket_.async_wait(tcp::socket::wait_read,
@@ -47,8 +48,8 @@
 void ClientSession::on_readable(error_code ec) {
   is_read_pending_ = false;
   last_byte_.on_readable(now());
-  // While a request is pending, reading continues until the kernel has no more: the end of the connection may
-  // follow the request directly, and has to be noticed before the request is forwarded.
+  // While a request is pending, reads until the kernel has no more data: the end of the connection may
+  // directly follow the request and must be noticed before the request is forwarded.
   do {
     if (state_ == State::kClosed) return;
     std::size_t size = 0;
@@ -71,7 +72,7 @@
   if (last_byte_.is_read_suspended() && upload_.is_active()) update_last_byte_estimate();
 }
 
-// The first data may have waited in the backlog.
+// The first data may have arrived while the connection was still in the backlog.
 TimePoint ClientSession::data_received_at(TimePoint read_at) {
   if (has_read_) return read_at;
   has_read_ = true;
@@ -84,8 +85,8 @@
     return;
   }
   reader_.append(std::string_view(context_.read_buffer.data(), size), received_at);
-  // Unread data would hide that the client closes the connection. So a client that sends too much ahead gets
-  // the response to the pending request and no other.
+  // Unread data would hide that the client closes the connection. A client that sends too much ahead
+  // therefore receives the response to the pending request and no other.
   if (state_ == State::kAwaitingResponse && !upload_.is_active() && reader_.input_size() > kMaxReadAhead) {
     is_discarding_ = true;
     reader_.clear_input();
@@ -95,21 +96,21 @@
 bool ClientSession::wants_data() const {
   if (state_ == State::kClosed || upload_.is_full()) return false;
   if (state_ != State::kAwaitingResponse && reader_.input_size() > kMaxReadAhead) return false;
-  return !is_discarding_ || has_sent_request_ || discarded_bytes_ <= kMaxDiscardedOfInvalidClient;
+  return !is_discarding_ || has_sent_request_ || discarded_bytes_ <= kMaxDiscardedBytesOfInvalidClient;
 }
 
-// While the upload is full its socket is not read. The last byte, from which the client's timeout counts, or
-// the end of the connection may wait there, so the kernel is asked for them.
-void ClientSession::schedule_suspended_check() {
+// The socket is not read while the upload buffer is full. The last byte, from which the client's timeout
+// counts, or the end of the connection may be waiting there, so the kernel is queried for both.
+void ClientSession::schedule_suspended_read_check() {
   last_byte_.on_read_suspended();
-  if (is_suspended_check_scheduled_) return;
-  is_suspended_check_scheduled_ = true;
-  context_.timers.schedule_after(kSuspendedCheckInterval,
-                                 [this, self = shared_from_this()] { check_suspended_client(); });
+  if (is_suspended_read_check_scheduled_) return;
+  is_suspended_read_check_scheduled_ = true;
+  context_.timers.schedule_after(kSuspendedReadCheckInterval,
+                                 [this, self = shared_from_this()] { check_suspended_read(); });
 }
 
-void ClientSession::check_suspended_client() {
-  is_suspended_check_scheduled_ = false;
+void ClientSession::check_suspended_read() {
+  is_suspended_read_check_scheduled_ = false;
   if (state_ != State::kAwaitingResponse || !upload_.is_full()) return read();
   if (is_closed_by_peer(socket_)) return close();
   update_last_byte_estimate();
@@ -201,21 +202,21 @@
 
 void ClientSession::report_request() {
   enter(State::kAwaitingResponse);
-  request_id_ = context_.callbacks.on_request(client_, std::move(*request_));
+  request_id_ = context_.callbacks.on_request(client_id_, std::move(*request_));
   request_.reset();
 }
 
-// During a hot restart the successor keeps serving the address, so the address stays healthy.
+// During a hot restart, the successor keeps serving the address, so health checks still succeed.
 void ClientSession::respond_to_health_check() {
-  const bool is_ending = context_.is_draining && !context_.is_listener_inherited;
+  const bool is_shutting_down = context_.is_draining && !context_.is_listener_inherited;
   Response response;
-  response.status = is_ending ? 503 : 200;
-  response.body = is_ending ? "draining\n" : "ok\n";
+  response.status = is_shutting_down ? 503 : 200;
+  response.body = is_shutting_down ? "draining\n" : "ok\n";
   write_response(response, is_last_response());
 }
 
 void ClientSession::reject(const RequestError& error) {
-  // An endpoint has already received the head of this request, so a response would be the second one.
+  // An endpoint has already received the head of this request, so a rejection would be a second response.
   if (state_ == State::kAwaitingResponse) return close();
   Response response;
   response.status = error.status;
@@ -247,7 +248,7 @@
   upload_.await_drained();
 }
 
-// The response comes before the end of the body. The client may write the body to its end before it reads the
+// The response comes before the end of the body. The client may send the whole body before it reads the
 // response, so the rest is read and discarded.
 void ClientSession::abandon_upload() {
   if (!upload_.is_active()) return;
@@ -277,7 +278,7 @@
   const ResponseFraming framing = select_framing(length, head_.http_version);
   const bool ends_with_close = framing == ResponseFraming::kUntilClose;
   close_after_response_ = is_last_response() || ends_with_close;
-  // If the response is cut short, even by the end of this process, only a reset tells the client so.
+  // If the response is truncated, even because this process exits, only a reset reveals it to the client.
   if (ends_with_close) set_reset_on_close(socket_, true);
   abandon_upload();
   enter(State::kWritingResponse);
@@ -334,7 +335,7 @@
 void ClientSession::close_if_stalled(TimePoint now) {
   if (state_ == State::kWritingResponse && writer_.is_stalled(now)) return abort_response();
   if (is_close_due(now)) return close();
-  // After a pause of the gateway itself, data that arrived in time may be unread; it is read first.
+  // If the gateway itself was paused, data that arrived in time may still be unread; it is read first.
   if (!is_client_stalled(now) || has_unread_data(socket_)) return;
   if (has_sent_request_ && state_ == State::kReadingRequest) {
     begin_close();
@@ -346,7 +347,7 @@
 bool ClientSession::is_close_due(TimePoint now) {
   if (state_ != State::kClosing || !stall_detector_.is_linger_expired(now)) return false;
   const bool is_overdue = stall_detector_.is_close_overdue(now);
-  // A client may send the rest of a large body before it reads its response.
+  // A client may send the rest of a large body before it starts to read its response.
   const bool is_sending_body = is_discarding_ && has_sent_request_ && stall_detector_.has_read_recently(now);
   if (is_sending_body && !is_overdue) return false;
   return is_overdue || !has_unacknowledged_data(socket_);
@@ -364,14 +365,14 @@
 
 void ClientSession::close() {
   if (state_ == State::kClosed) return;
-  const bool is_response_owed = state_ == State::kAwaitingResponse || writer_.is_streaming();
+  const bool is_response_incomplete = state_ == State::kAwaitingResponse || writer_.is_streaming();
   state_ = State::kClosed;
   writer_.cancel();
   error_code ignored;
   socket_.close(ignored);
   abandon_upload();
-  if (is_response_owed) context_.callbacks.on_client_disconnected(request_id_);
-  context_.on_session_closed(client_);
+  if (is_response_incomplete) context_.callbacks.on_client_disconnected(request_id_);
+  context_.on_session_closed(client_id_);
 }
 
 bool ClientSession::is_settled() {
@@ -380,7 +381,7 @@
 
 bool ClientSession::is_evictable() const {
   if (state_ == State::kIdle || state_ == State::kReadingRequest) return true;
-  // A client that still sends a large body has yet to read its response.
+  // A client that is still sending a large body has not read its response yet.
   const bool is_sending_body = is_discarding_ && has_sent_request_;
   return state_ == State::kClosing && !is_sending_body;
 }
--- a/src/client/client_session.hpp
+++ b/src/client/client_session.hpp
@@ -25,7 +25,7 @@
 
 namespace quota_gateway::net {
 
-// What all sessions of a listener share. It outlives their connections.
+// State shared by all sessions of a listener. Outlives their connections.
 struct ClientSessionContext {
   Timers& timers;
   const Clock& clock;
@@ -33,14 +33,15 @@
   BodyBudget& budget;
   const ClientCallbacks callbacks;
   // Removes a closed session from the listener.
-  const std::function<void(std::uint64_t client)> on_session_closed;
-  std::vector<char> read_buffer;       // holds the data of one read, of any session
-  bool is_draining = false;            // connections end with their present response
+  const std::function<void(std::uint64_t client_id)> on_session_closed;
+  std::vector<char> read_buffer;       // holds the data of one read; shared by all sessions
+  bool is_draining = false;            // connections close after their current response
   bool is_listener_inherited = false;  // a successor can serve the same address
 };
 
-// When the listener needs room for a new connection, the session with the lowest priority is closed first:
-// clients that never sent a request, then those whose last data is oldest.
+// When the listener needs room for a new connection, it closes the session with the lowest priority: first
+// closing sessions and clients that never sent a request, then all others. In each group, the session whose
+// last data is oldest comes first.
 struct EvictionPriority {
   bool is_known_client = false;
   TimePoint last_read_at = 0;
@@ -49,47 +50,48 @@
   }
 };
 
-// The session goes on reading while its request is processed, because only a read shows that the client has
+// The session keeps reading while its request is processed, because only a read reveals that the client has
 // closed the connection.
 class ClientSession : public std::enable_shared_from_this<ClientSession>, private ResponseWriterOwner {
  public:
-  ClientSession(ClientSessionContext& context, std::uint64_t client, boost::asio::ip::tcp::socket socket);
+  ClientSession(ClientSessionContext& context, std::uint64_t client_id, boost::asio::ip::tcp::socket socket);
 
-  // Waits for data, if any more is wanted at present. The read buffer is used only when data is there, so an
-  // idle connection costs little memory.
+  // Waits for data if the session currently wants more. The shared read buffer is used only once data has
+  // arrived, so an idle connection needs little memory.
   void read();
 
-  // The response to the pending request; ignored if none is pending.
+  // Writes the response to the pending request. Does nothing if no request is pending.
   void respond(const Response& response);
-  // Begins a streamed response to the pending request, then adds chunks and ends it.
+  // Begins a streamed response to the pending request; write_chunk() and finish_response() continue it.
   void start_response(std::optional<std::uint64_t> length);
   void write_chunk(const std::string& bytes) { writer_.write_chunk(bytes); }
   void finish_response();
-  // Closes the connection with a reset, which no client takes for the end of a response.
+  // Closes the connection with a reset, which no client mistakes for the end of a response.
   void abort_response();
 
-  // Closes the connection of a client that has sent a request and is idle now.
+  // Closes the connection if its client has sent a request and is idle now.
   void close_if_idle();
-  // Closes the connection if its client stalls.
+  // Closes the connection if its client has stalled.
   void close_if_stalled(TimePoint now);
   void close();
 
-  // Whether the session is idle after a request, and nothing is under way in either direction.
+  // Returns whether the session is idle after a request and has no data in flight in either direction.
   bool is_settled();
-  // Whether the session may be closed in favour of a new connection, as it has no request in progress.
+  // Returns whether the session may be closed to make room for a new connection. False while a response is
+  // pending, being written or still to be read by a client that is sending its body.
   [[nodiscard]] bool is_evictable() const;
   [[nodiscard]] EvictionPriority eviction_priority() const;
-  // Whether data is under way. A close over unread data is a reset, and takes along what the client's kernel
-  // has not received of a response.
+  // Returns whether written data is unacknowledged, or received data unread. Closing a socket with unread
+  // data resets the connection and loses any part of a response that the client's kernel has not received.
   bool has_data_in_flight();
 
  private:
   enum class State {
     kIdle,              // between two requests, or before the first one
-    kReadingRequest,    // a request has begun and was not reported
-    kAwaitingResponse,  // the request was reported; its streamed body may still be read
+    kReadingRequest,    // a request has begun and has not been reported
+    kAwaitingResponse,  // the request has been reported; its streamed body may still be arriving
     kWritingResponse,
-    kClosing,  // nothing more is written; data is discarded until the client closes its side
+    kClosing,  // nothing more is written; input is discarded until the client closes its side
     kClosed,
   };
 
@@ -99,8 +101,8 @@
   void buffer_data(std::size_t size, TimePoint received_at);
   [[nodiscard]] TimePoint data_received_at(TimePoint read_at);
   [[nodiscard]] bool wants_data() const;
-  void schedule_suspended_check();
-  void check_suspended_client();
+  void schedule_suspended_read_check();
+  void check_suspended_read();
   void update_last_byte_estimate();
 
   // Requests.
@@ -134,21 +136,21 @@
   [[nodiscard]] bool is_close_due(TimePoint now);
 
   ClientSessionContext& context_;
-  const std::uint64_t client_;
+  const std::uint64_t client_id_;
   boost::asio::ip::tcp::socket socket_;
   State state_ = State::kIdle;
   bool has_sent_request_ = false;  // other than a health check
-  std::uint64_t request_id_ = 0;   // 0: none is pending
+  std::uint64_t request_id_ = 0;   // 0 if none is pending
 
   // Input.
   RequestReader reader_;
   RequestHead head_;
-  std::optional<ClientRequest> request_;  // until it is reported
+  std::optional<ClientRequest> request_;  // parsed but not reported yet
   bool has_read_ = false;
   bool is_read_pending_ = false;
-  bool is_suspended_check_scheduled_ = false;
-  bool is_discarding_ = false;       // all further data is ignored and the next response is the last one
-  std::size_t discarded_bytes_ = 0;  // since then, or since the session is closing
+  bool is_suspended_read_check_scheduled_ = false;
+  bool is_discarding_ = false;       // all further input is ignored and the next response is the last one
+  std::size_t discarded_bytes_ = 0;  // since is_discarding_ was set or closing began
 
   // Request body.
   BodyBudget::Share buffer_share_;  // bytes buffered of the request body or the response
--- a/src/client/socket_state.cpp
+++ b/src/client/socket_state.cpp
@@ -17,7 +17,7 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Connections wait in the backlog for less than this, so a larger value is an error of the kernel's report.
+// No connection waits in the backlog for longer than this, so a larger value from the kernel is wrong.
 constexpr Duration kMaxBacklogWait = 60'000'000;  // us
 constexpr Duration kMicrosecondsPerMillisecond = 1000;
 
@@ -44,8 +44,8 @@
 }
 
 bool is_closed_by_peer(tcp::socket& socket) {
-  pollfd descriptor{socket.native_handle(), POLLRDHUP, 0};
-  return ::poll(&descriptor, 1, 0) > 0;
+  pollfd poll_request{socket.native_handle(), POLLRDHUP, 0};
+  return ::poll(&poll_request, 1, 0) > 0;
 }
 
 void set_reset_on_close(tcp::socket& socket, bool enabled) {
--- a/src/client/socket_state.hpp
+++ b/src/client/socket_state.hpp
@@ -1,4 +1,4 @@
-// Questions to the kernel about the state of a client's TCP connection.
+// Queries the kernel for the state of a client's TCP connection, and sets how the connection is closed.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,20 +7,20 @@
 
 namespace quota_gateway::net {
 
-// How long ago the peer's latest data arrived, which may be before the connection was accepted. 0 if the
-// kernel does not report it.
+// Returns the time since the peer's latest data arrived, which may be before the connection was accepted.
+// Returns 0 if the kernel does not report it.
 Duration time_since_last_data(boost::asio::ip::tcp::socket& socket);
 
-// Whether the peer has yet to acknowledge data that was written.
+// Returns whether written data has not been acknowledged by the peer yet.
 bool has_unacknowledged_data(boost::asio::ip::tcp::socket& socket);
 
-// Whether received data waits to be read.
+// Returns whether received data is waiting to be read.
 bool has_unread_data(boost::asio::ip::tcp::socket& socket);
 
-// Whether the peer has closed its side, even if data before that is unread.
+// Returns whether the peer has closed its side, even if data that it sent before is still unread.
 bool is_closed_by_peer(boost::asio::ip::tcp::socket& socket);
 
-// Lets close() send a reset, which the peer cannot take for the orderly end of a response.
+// Sets whether close() sends a reset, which the peer cannot mistake for the orderly end of a response.
 void set_reset_on_close(boost::asio::ip::tcp::socket& socket, bool enabled);
 
 }  // namespace quota_gateway::net
--- a/tests/client/client_disconnect_test.cpp
+++ b/tests/client/client_disconnect_test.cpp
@@ -1,5 +1,5 @@
-// Tests of clients that disconnect while their request is pending, in each of its states. Nothing of the
-// request may be forwarded afterwards.
+// Tests that nothing of a pending request is forwarded after its client disconnects, in each state of the
+// request.
 #include <sys/file.h>
 
 #include "support/loopback.hpp"
@@ -8,7 +8,7 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-constexpr int kAfterDisconnect = 100;  // ms
+constexpr int kDisconnectProcessingTime = 100;  // ms
 
 // Parameter: whether attempts may be cancelled.
 class ClientDisconnectTest : public ::testing::TestWithParam<bool> {
@@ -17,9 +17,9 @@
     rig.config.settings.allow_cancel = GetParam();
     for (ClassSettings& request_class : rig.config.settings.classes)
       request_class.latency_objective =
-          3'000'000;  // a quarter of it is the longest wait in the admission queue
+          3'000'000;  // requests wait in the admission queue for at most a quarter of it
   }
-  // The next request is forwarded, and it is the only one.
+  // Sends another request and expects that it is the only one forwarded to `server`.
   void expect_only_next_request_forwarded(FakeEndpoint& server) {
     Client next = rig.client();
     next.send(get_request("next"));
@@ -27,7 +27,7 @@
     ASSERT_EQ(server.requests.size(), 1u);
     EXPECT_EQ(server.requests[0]["X-Trace-Id"], "next");
   }
-  static std::string upload(const std::string& id) {
+  static std::string upload_head(const std::string& id) {
     return "POST /intro-request/00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " + id +
            "\r\nPlan: plan-group\r\nX-Expires-In: 4000m\r\nIdempotency-Key: k-" + id +
            "\r\nContent-Length: 100000\r\nQuota-Info: units=1,spread=3,first=0\r\n\r\n";
@@ -36,9 +36,9 @@
   Rig rig;
   FakeEndpoint s1{rig.io};
 };
-INSTANTIATE_TEST_SUITE_P(Cancels, ClientDisconnectTest, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(AllowCancel, ClientDisconnectTest, ::testing::Bool());
 
-TEST_P(ClientDisconnectTest, WhileWaitingForAnEndpoint) {
+TEST_P(ClientDisconnectTest, DropsRequestWaitingForEndpoint) {
   rig.discovery.first_update = "\n";
   rig.start();  // without an endpoint
   {
@@ -46,13 +46,13 @@
     client.send(get_request("disconnected"));
     run_for(rig.io, 20);
   }
-  run_for(rig.io, kAfterDisconnect);
+  run_for(rig.io, kDisconnectProcessingTime);
   rig.discovery.send_update(update_json(42, false, endpoint_json("s1", s1.address_text())));
   run_for(rig.io, 20);
   expect_only_next_request_forwarded(s1);
 }
 
-TEST_P(ClientDisconnectTest, WhileWaitingForTheCounter) {
+TEST_P(ClientDisconnectTest, DropsRequestWaitingForCounter) {
   FakeCounter counter(rig.io);
   counter.silent = true;
   rig.config.settings.has_counter = true;
@@ -65,7 +65,7 @@
     client.send(get_request("disconnected"));
     ASSERT_TRUE(rig.run_until([&] { return counter.calls.size() == 1; }));
   }
-  run_for(rig.io, kAfterDisconnect);
+  run_for(rig.io, kDisconnectProcessingTime);
   EXPECT_TRUE(s1.requests.empty());
   counter.silent = false;
   counter.last->write("$1\r\n1\r\n");
@@ -73,14 +73,14 @@
 }
 
 void ClientDisconnectTest::disconnect_during_connect(const std::string& request) {
-  // The backlog of the endpoint is full until the client has disconnected; the kernel then retries the
-  // connect.
-  tcp::acceptor full(rig.io, {asio::ip::address_v4::loopback(), 0}, true);
-  full.listen(0);
-  tcp::socket filler(rig.io);
-  filler.connect(full.local_endpoint());
+  // The endpoint's backlog is full until the client has disconnected, so the connection is established only
+  // when the kernel retries the connect.
+  tcp::acceptor full_acceptor(rig.io, {asio::ip::address_v4::loopback(), 0}, true);
+  full_acceptor.listen(0);
+  tcp::socket backlog_filler(rig.io);
+  backlog_filler.connect(full_acceptor.local_endpoint());
   DiscoveredEndpoint endpoint = discovered_endpoint("s1", s1);
-  endpoint.address = full.local_endpoint();
+  endpoint.address = full_acceptor.local_endpoint();
   rig.add_endpoint(endpoint);
   rig.config.connect_timeout = 3'500'000;
   rig.start();
@@ -89,72 +89,72 @@
     client.send(request);
     run_for(rig.io, 20);
   }
-  run_for(rig.io, kAfterDisconnect);
+  run_for(rig.io, kDisconnectProcessingTime);
   std::vector<std::shared_ptr<tcp::socket>> accepted;
   std::function<void()> accept = [&] {
-    full.async_accept([&](error_code ec, tcp::socket socket) {
+    full_acceptor.async_accept([&](error_code ec, tcp::socket socket) {
       if (ec) return;
       accepted.push_back(std::make_shared<tcp::socket>(std::move(socket)));
       accept();
     });
   };
   accept();
-  run_for(rig.io, 1500);  // longer than the kernel's first retry
+  run_for(rig.io, 1500);  // longer than the kernel waits before its first retry
   error_code ignored;
   for (const auto& socket : accepted) EXPECT_EQ(socket->available(ignored), 0u);
-  full.close();
+  full_acceptor.close();
 }
 
-TEST_P(ClientDisconnectTest, WhileAConnectionIsEstablishedLate) {
+TEST_P(ClientDisconnectTest, DropsRequestWhenConnectionIsEstablishedLate) {
   disconnect_during_connect(post_request("disconnected"));
 }
 
-TEST_P(ClientDisconnectTest, BetweenTwoAttempts) {
-  FakeEndpoint busy(rig.io);
-  busy.on_request = [](Peer& connection, const HttpRequest&) {
+TEST_P(ClientDisconnectTest, DropsRequestBetweenAttempts) {
+  FakeEndpoint busy_endpoint(rig.io);
+  busy_endpoint.on_request = [](Peer& connection, const HttpRequest&) {
     connection.write(reply("503 No", "X-Never-Ran: 1\r\n"));
   };
-  rig.add_endpoint(discovered_endpoint("s0", busy));
+  rig.add_endpoint(discovered_endpoint("s0", busy_endpoint));
   rig.config.settings.max_attempts = 2;
   rig.start();
-  Client stays = rig.client();
+  Client connected_client = rig.client();
   {
     Client client = rig.client();
     client.send(get_request("disconnected"));
-    ASSERT_TRUE(rig.run_until([&] { return busy.requests.size() == 1; }));
-    stays.send(get_request("stays"));
-    ASSERT_TRUE(rig.run_until([&] { return busy.requests.size() == 2; }));
+    ASSERT_TRUE(rig.run_until([&] { return busy_endpoint.requests.size() == 1; }));
+    connected_client.send(get_request("stays"));
+    ASSERT_TRUE(rig.run_until([&] { return busy_endpoint.requests.size() == 2; }));
     run_for(rig.io, 5);
   }
-  run_for(rig.io, kAfterDisconnect);
+  run_for(rig.io, kDisconnectProcessingTime);
   rig.discovery.send_update(update_json(42, true, endpoint_json("s1", s1.address_text())));
-  ASSERT_TRUE(stays.receive());
-  EXPECT_EQ(busy.requests.size(), 2u);
+  ASSERT_TRUE(connected_client.receive());
+  EXPECT_EQ(busy_endpoint.requests.size(), 2u);
   ASSERT_EQ(s1.requests.size(), 1u);
   EXPECT_EQ(s1.requests[0]["X-Trace-Id"], "stays");
 }
 
-TEST_P(ClientDisconnectTest, AfterABodyThatNoEndpointReadsYet) {
-  // Guards against a disconnect that is not noticed because the end of a large body is unread.
+TEST_P(ClientDisconnectTest, DropsUploadWaitingForEndpoint) {
+  // Guards against missing a disconnect because the end of a large body is unread.
   rig.start();  // without an endpoint
   {
     Client client = rig.client();
-    client.send(upload("disconnected") + std::string(100'000, 'x'));
+    client.send(upload_head("disconnected") + std::string(100'000, 'x'));
     run_for(rig.io, 20);
   }
-  run_for(rig.io, kAfterDisconnect);
+  run_for(rig.io, kDisconnectProcessingTime);
   rig.discovery.send_update(update_json(42, false, endpoint_json("s1", s1.address_text())));
   run_for(rig.io, 20);
   ASSERT_TRUE(s1.peers.empty());
   expect_only_next_request_forwarded(s1);
 }
 
-TEST_P(ClientDisconnectTest, AfterABodyWhoseConnectionIsEstablishedLate) {
-  disconnect_during_connect(upload("disconnected") + std::string(100'000, 'x'));
+TEST_P(ClientDisconnectTest, DropsUploadWhenConnectionIsEstablishedLate) {
+  disconnect_during_connect(upload_head("disconnected") + std::string(100'000, 'x'));
 }
 
-TEST_P(ClientDisconnectTest, RightAfterItsRequest) {
-  // Guards against a request that is forwarded although the end of its connection could be read with it.
+TEST_P(ClientDisconnectTest, DropsRequestWhenClientDisconnectsRightAfterIt) {
+  // Guards against forwarding a request although the end of its connection can be read together with it.
   rig.add_endpoint(discovered_endpoint("s1", s1));
   rig.start();
   {
@@ -164,21 +164,21 @@
   expect_only_next_request_forwarded(s1);
 }
 
-TEST_P(ClientDisconnectTest, AfterSendingMoreThanTheReadAheadLimit) {
-  // Guards against a disconnect that is not noticed because pipelined data is unread.
+TEST_P(ClientDisconnectTest, DropsRequestWhenDataBeyondReadAheadLimitFollows) {
+  // Guards against missing a disconnect because pipelined data is unread.
   rig.start();  // without an endpoint
   {
     Client client = rig.client();
     client.send(get_request("disconnected") + std::string(200'000, 'x'));
     run_for(rig.io, 20);
   }
-  run_for(rig.io, kAfterDisconnect);
+  run_for(rig.io, kDisconnectProcessingTime);
   rig.discovery.send_update(update_json(42, false, endpoint_json("s1", s1.address_text())));
   run_for(rig.io, 20);
   expect_only_next_request_forwarded(s1);
 }
 
-TEST_P(ClientDisconnectTest, ClientThatStaysReceivesItsResponseBeyondTheReadAheadLimit) {
+TEST_P(ClientDisconnectTest, RespondsToConnectedClientThatExceedsReadAheadLimit) {
   rig.add_endpoint(discovered_endpoint("s1", s1));
   std::shared_ptr<Peer> pending_peer;
   s1.on_request = [&](Peer& connection, const HttpRequest&) { pending_peer = connection.shared_from_this(); };
@@ -195,7 +195,7 @@
 }
 
 // An attempt that starts in the batch in which its client disconnects must be reported as ended.
-TEST_P(ClientDisconnectTest, InTheBatchThatStartsItsAttempt) {
+TEST_P(ClientDisconnectTest, FreesConcurrencySlotWhenAttemptStartsInSameBatch) {
   FakeCounter counter(rig.io);
   counter.silent = true;
   rig.config.settings.gateway_count = 1;
@@ -211,46 +211,46 @@
     ASSERT_TRUE(rig.run_until([&] { return counter.calls.size() == 1; }));
     while (rig.io.poll() > 0) rig.io.restart();
     rig.io.restart();
-    counter.last->write("$1\r\n1\r\n");  // both are read in one iteration of the event loop
+    counter.last->write("$1\r\n1\r\n");  // read in the same iteration of the event loop as the disconnect
   }
   run_for(rig.io, 50);
   Client next = rig.client();
   next.send(get_request("next"));
   const auto response = next.receive();
   ASSERT_TRUE(response);
-  EXPECT_EQ(response->result_int(), 200u);  // its slot under the concurrency cap is free
+  EXPECT_EQ(response->result_int(), 200u);  // the first request's slot under the concurrency cap is free
 }
 
-TEST(ClientDisconnectDuringHotRestartTest, WhileTheProcessWaitsForItsPredecessor) {
+TEST(ClientDisconnectDuringHotRestartTest, DropsRequestReceivedWhileWaitingForPredecessor) {
   asio::io_context io;
   FakeEndpoint server(io);
   FakeDiscovery discovery(io);
-  char shared[] = "/tmp/quota-gateway-test-XXXXXX";
-  ASSERT_NE(::mkdtemp(shared), nullptr);
-  const std::string owner = std::string(shared) + "/owner.json";
-  const std::string alive = std::string(shared) + "/alive-before";
-  std::ofstream(owner) << R"({"token":"before"})";
-  const int lock = ::open(alive.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  ASSERT_EQ(::flock(lock, LOCK_EX | LOCK_NB), 0);  // it is alive and never hands over
-  tcp::acceptor platform(io, {asio::ip::address_v4::loopback(), 0});
+  char shared_directory[] = "/tmp/quota-gateway-test-XXXXXX";
+  ASSERT_NE(::mkdtemp(shared_directory), nullptr);
+  const std::string owner_path = std::string(shared_directory) + "/owner.json";
+  const std::string alive_path = std::string(shared_directory) + "/alive-before";
+  std::ofstream(owner_path) << R"({"token":"before"})";
+  const int lock_fd = ::open(alive_path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+  ASSERT_EQ(::flock(lock_fd, LOCK_EX | LOCK_NB), 0);  // the predecessor is alive and never hands over
+  tcp::acceptor inherited_listener(io, {asio::ip::address_v4::loopback(), 0});
   {
-    Client client(io, platform.local_endpoint());
+    Client client(io, inherited_listener.local_endpoint());
     client.send(get_request("disconnected"));
   }
-  Process process(configuration_json(platform.local_endpoint().port(), server, discovery),
-                  platform.native_handle(), shared);
+  Process process(configuration_json(inherited_listener.local_endpoint().port(), server, discovery),
+                  inherited_listener.native_handle(), shared_directory);
   ASSERT_NE(process.log_until("does not answer").find("does not answer"), std::string::npos);
-  Client next(io, platform.local_endpoint());
+  Client next(io, inherited_listener.local_endpoint());
   next.send(get_request("next"));
   ASSERT_TRUE(next.receive());
   ASSERT_EQ(server.requests.size(), 1u);
   EXPECT_EQ(server.requests[0]["X-Trace-Id"], "next");
   process.terminate();
   EXPECT_EQ(process.exit_code(), 0);
-  ::close(lock);
+  ::close(lock_fd);
   for (const char* file : {"owner.json", "alive-before"})
-    ::unlink((std::string(shared) + "/" + file).c_str());
-  ::rmdir(shared);
+    ::unlink((std::string(shared_directory) + "/" + file).c_str());
+  ::rmdir(shared_directory);
 }
 
 }  // namespace
--- a/tests/client/shutdown_test.cpp
+++ b/tests/client/shutdown_test.cpp
@@ -1,4 +1,4 @@
-// Tests of what must still be completed in a drain, at exit, after a signal during startup and after a
+// Tests that pending work is completed during a drain, at exit, after a signal during startup and after a
 // failure in the middle of a batch.
 #include <sys/ioctl.h>
 #include <sys/stat.h>
@@ -10,7 +10,7 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-// The client listener alone; each request is answered at once.
+// Runs a client listener on its own and answers each request at once.
 class ClientListenerTest : public ::testing::Test {
  protected:
   ClientListenerTest() {
@@ -24,7 +24,7 @@
   TestClock clock;
   Timers timers{io, clock};
   Settings settings;
-  std::string body = "x";  // of each response
+  std::string body = "x";  // sent in each response
   int request_count = 0;
   BodyBudget budget{1 << 20};
   ClientListener::Callbacks callbacks(ClientListener& target) {
@@ -43,52 +43,53 @@
   ClientListener listener{io, timers, clock, settings, 100, budget, callbacks(listener)};
 };
 
-TEST_F(ClientListenerTest, IdleClientWithAnUnreadRequestReceivesAResponse) {
+TEST_F(ClientListenerTest, DrainRespondsToUnreadRequestOfIdleClient) {
   Client client(io, listener.address());
   client.send(get_request("a"));
   ASSERT_TRUE(client.receive());
   EXPECT_TRUE(listener.is_idle());
-  client.send(get_request("b"));  // the event loop does not run before the next check
+  client.send(get_request("b"));  // not read yet: the event loop does not run before the next check
   EXPECT_FALSE(listener.is_idle());
   listener.drain();
   EXPECT_FALSE(listener.is_idle());
   EXPECT_TRUE(client.receive());
 }
 
-TEST_F(ClientListenerTest, RequestsInTheBacklogAreAnsweredAfterAcceptingStops) {
+TEST_F(ClientListenerTest, RespondsToRequestsInBacklogAfterAcceptingStops) {
   std::deque<Client> clients;
   for (int i = 0; i < 5; ++i) {
     clients.emplace_back(io, listener.address());
     clients.back().send(get_request("a"));
   }
   listener.drain();
-  listener.stop_accepting();  // none has been accepted by the listener
+  listener.stop_accepting();  // the listener has not accepted any of them yet
   for (Client& client : clients) EXPECT_TRUE(client.receive());
 }
 
-TEST_F(ClientListenerTest, DataDuringAnOrderlyCloseIsNotProcessedAndDoesNotDestroyTheResponse) {
-  // Guards against a close that crosses arriving data: it resets the connection and destroys unread
-  // responses.
+TEST_F(ClientListenerTest, IgnoresDataDuringOrderlyCloseWithoutLosingResponse) {
+  // Guards against closing the socket while data arrives, which resets the connection and destroys a response
+  // that the client has not read.
   body.assign(400'000, 'x');
   Client client(io, listener.address());
   client.send(get_request("a"));
   ASSERT_TRUE(run_until(io, [&] { return request_count == 1 && client.socket.available() > 0; }));
-  run_for(io, 20);  // the kernel has all of it, and the client a part
+  run_for(io, 20);  // the kernel has taken the whole response, the client has received a part
   listener.drain();
-  client.send(get_request("b"));  // it has not noticed the close yet
+  client.send(get_request("b"));  // the client has not noticed the close yet
   run_for(io, 20);
   const auto response = client.receive();
   ASSERT_TRUE(response);
   EXPECT_TRUE(response->body() == body);
-  std::optional<error_code> ended;
+  std::optional<error_code> read_result;
   char byte;
-  client.socket.async_read_some(asio::buffer(&byte, 1), [&](error_code ec, std::size_t) { ended = ec; });
-  ASSERT_TRUE(run_until(io, [&] { return ended.has_value(); }));
-  EXPECT_EQ(*ended, asio::error::eof);
+  client.socket.async_read_some(asio::buffer(&byte, 1),
+                                [&](error_code ec, std::size_t) { read_result = ec; });
+  ASSERT_TRUE(run_until(io, [&] { return read_result.has_value(); }));
+  EXPECT_EQ(*read_result, asio::error::eof);
   EXPECT_EQ(request_count, 1);
 }
 
-TEST_F(ClientListenerTest, LastResponseToASlowReaderIsNotDestroyedByFurtherRequests) {
+TEST_F(ClientListenerTest, FurtherRequestsDoNotDestroyLastResponseToSlowReader) {
   body.assign(400'000, 'x');
   listener.drain();
   Client client(io, listener.address());
@@ -96,7 +97,7 @@
   ASSERT_TRUE(run_until(io, [&] { return request_count == 1 && client.socket.available() > 0; }));
   run_for(io, 20);
   clock.advance(3'000'000);
-  run_for(io, 250);  // longer than the interval of the stall checks
+  run_for(io, 250);  // longer than the stall check interval
   client.send(get_request("b"));
   run_for(io, 20);
   const auto response = client.receive();
@@ -105,11 +106,11 @@
   EXPECT_EQ(request_count, 1);
 }
 
-TEST_F(ClientListenerTest, ClientWithAnUnacknowledgedResponseIsNotEvicted) {
-  ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
-  small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
-  Client first(io, small.address());
-  Client second(io, small.address());
+TEST_F(ClientListenerTest, DoesNotEvictClientWithUnacknowledgedResponse) {
+  ClientListener small_listener{io, timers, clock, settings, 2, budget, callbacks(small_listener)};
+  small_listener.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
+  Client first(io, small_listener.address());
+  Client second(io, small_listener.address());
   body.assign(400'000, 'x');
   first.send(get_request("a"));
   ASSERT_TRUE(run_until(io, [&] { return first.socket.available() > 0; }));
@@ -117,8 +118,8 @@
   body = "x";
   second.send(get_request("a"));
   ASSERT_TRUE(second.receive());
-  Client third(io, small.address());
-  third.send(get_request("c"));  // the one that is idle for longest would be evicted first
+  Client third(io, small_listener.address());
+  third.send(get_request("c"));  // the first client is idle for longest and would otherwise be evicted
   EXPECT_TRUE(third.receive());
   first.send(get_request("b"));
   run_for(io, 20);
@@ -129,19 +130,19 @@
 }
 
 TEST_F(ClientListenerTest, ClosingConnectionsDoNotDelayNewClients) {
-  // Guards against requests that wait in the backlog while invalid clients do not close their connections.
-  ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
-  small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
+  // Guards against new requests waiting in the backlog while invalid clients keep their connections open.
+  ClientListener small_listener{io, timers, clock, settings, 2, budget, callbacks(small_listener)};
+  small_listener.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
   clock.stop();
   std::deque<Client> invalid_clients;
   for (int i = 0; i < 3; ++i) {
-    invalid_clients.emplace_back(io, small.address());
+    invalid_clients.emplace_back(io, small_listener.address());
     invalid_clients.back().send("nonsense\r\n\r\n");
     ASSERT_TRUE(invalid_clients.back().receive());
   }
-  Client client(io, small.address());
+  Client client(io, small_listener.address());
   client.send(get_request("a"));
-  for (int i = 0; i < 25 && request_count == 0; ++i) {  // half of the linger timeout of one second
+  for (int i = 0; i < 25 && request_count == 0; ++i) {  // half of the one-second linger timeout
     timers.schedule_after(1'000, [] {});
     clock.advance(20'000);
     run_for(io, 10);
@@ -149,24 +150,25 @@
   EXPECT_EQ(request_count, 1);
 }
 
-TEST_F(ClientListenerTest, ClientWithAnUnreadRequestIsNotEvicted) {
-  ClientListener small{io, timers, clock, settings, 2, budget, callbacks(small)};
-  small.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
-  Client first(io, small.address());
-  Client second(io, small.address());
+TEST_F(ClientListenerTest, DoesNotEvictClientWithUnreadRequest) {
+  ClientListener small_listener{io, timers, clock, settings, 2, budget, callbacks(small_listener)};
+  small_listener.listen({asio::ip::address_v4::loopback(), 0}, std::nullopt);
+  Client first(io, small_listener.address());
+  Client second(io, small_listener.address());
   for (Client* client : {&first, &second}) {
     client->send(get_request("a"));
     ASSERT_TRUE(client->receive());
   }
-  Client third(io, small.address());  // it is in the backlog, and its request is read when it is accepted
-  first.send(get_request("b"));       // the one that is idle for longest would be evicted first
+  Client third(io,
+               small_listener.address());  // waits in the backlog; its request is read once it is accepted
+  first.send(get_request("b"));  // the first client is idle for longest and would otherwise be evicted
   EXPECT_TRUE(first.receive());
   third.send(get_request("c"));
   EXPECT_TRUE(third.receive());
   EXPECT_TRUE(second.closed_by_peer());
 }
 
-TEST(ShutdownTest, TerminationRightAfterAReloadFinishesPendingRequests) {
+TEST(ShutdownTest, FinishesPendingRequestsWhenTerminatedRightAfterReload) {
   asio::io_context io;
   FakeEndpoint server(io);
   FakeDiscovery before(io);
@@ -192,15 +194,16 @@
   EXPECT_EQ(process.exit_code(), 0);
 }
 
-TEST(ShutdownTest, ClientOfAKilledProcessDoesNotTakeATruncatedResponseAsComplete) {
-  // An HTTP/1.0 client takes an orderly close for the end of a response without a length.
+TEST(ShutdownTest, KilledProcessResetsTruncatedResponseToHttp10Client) {
+  // An HTTP/1.0 client takes an orderly close as the end of a response without a length.
   asio::io_context io;
   FakeEndpoint server(io);
   FakeDiscovery discovery(io);
   server.on_request = [](Peer& connection, const HttpRequest&) {
-    const auto all = std::make_shared<std::string>("HTTP/1.1 200 OK\r\n\r\n" + std::string(100'000, 'x'));
-    asio::async_write(connection.socket, asio::buffer(*all),
-                      [all, self = connection.shared_from_this()](error_code, std::size_t) {});
+    const auto response_bytes =
+        std::make_shared<std::string>("HTTP/1.1 200 OK\r\n\r\n" + std::string(100'000, 'x'));
+    asio::async_write(connection.socket, asio::buffer(*response_bytes),
+                      [response_bytes, self = connection.shared_from_this()](error_code, std::size_t) {});
   };
   const auto port = free_port(io);
   Process process(configuration_json(port, server, discovery));
@@ -214,7 +217,7 @@
   EXPECT_FALSE(client.receive());
 }
 
-TEST(ShutdownTest, DrainWaitsUntilTheClientHasReceivedItsResponse) {
+TEST(ShutdownTest, DrainWaitsUntilClientHasReceivedResponse) {
   Rig rig;
   FakeEndpoint s1(rig.io);
   std::shared_ptr<Peer> pending_peer;
@@ -226,7 +229,7 @@
   ASSERT_TRUE(rig.run_until([&] { return pending_peer != nullptr; }));
   bool done = false;
   coordinator.drain([&] { done = true; });
-  run_for(rig.io, 1100);  // new connections are accepted for 1 s
+  run_for(rig.io, 1100);  // new connections are accepted for the first second of a drain
   pending_peer->write(reply("200 OK", "", "late"));
   ASSERT_TRUE(rig.run_until([&] { return client->socket.available() > 0; }));
   run_for(rig.io, 100);
@@ -236,72 +239,74 @@
   EXPECT_TRUE(rig.run_until([&] { return done; }));
 }
 
-TEST(ShutdownTest, FailedTimerCallbackDoesNotStopOthersOfTheSameInstant) {
+TEST(ShutdownTest, RunsOtherTimersOfSameInstantWhenOneThrows) {
   asio::io_context io;
   Clock clock;
   Timers timers(io, clock);
   int fired = 0;
-  const TimePoint at = clock.now() + 1000;
-  timers.schedule_at(at, [] { throw std::runtime_error("first"); });
-  for (int i = 0; i < 3; ++i) timers.schedule_at(at, [&] { ++fired; });
+  const TimePoint fire_time = clock.now() + 1000;
+  timers.schedule_at(fire_time, [] { throw std::runtime_error("first"); });
+  for (int i = 0; i < 3; ++i) timers.schedule_at(fire_time, [&] { ++fired; });
   EXPECT_THROW(run_until(io, [&] { return fired == 3; }), std::runtime_error);
   EXPECT_TRUE(run_until(io, [&] { return fired == 3; }));
 }
 
-TEST(ShutdownTest, FailedActionDoesNotStopOthersOfItsBatch) {
+TEST(ShutdownTest, ExecutesOtherActionsOfBatchWhenOneThrows) {
   Rig rig;
-  rig.start();  // without an endpoint; the log line, which fails here, is written before the timer for the
-                // wait
+  rig.start();  // without an endpoint, so the request is queued; writing the log line about it fails before
+                // the timer of the queued request is started
   Client client = rig.client();
-  struct Broken : std::streambuf {
-  } broken;  // accepts no output
-  const auto kept = std::cerr.rdbuf(&broken);
+  struct FailingBuffer : std::streambuf {
+  } failing_buffer;  // accepts no output
+  const auto original_buffer = std::cerr.rdbuf(&failing_buffer);
   std::cerr.exceptions(std::ios::badbit);
   client.send(get_request("a"));
   const auto response = client.receive();
   std::cerr.exceptions(std::ios::goodbit);
-  std::cerr.rdbuf(kept);
+  std::cerr.rdbuf(original_buffer);
   std::cerr.clear();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(),
-            429u);  // rejected after its wait; a lost action would end in 502
+            429u);  // rejected after its wait in the queue; a lost action would end in 502
 }
 
-TEST(ShutdownTest, TerminationDuringStartupIsHandled) {
-  // Guards against a process that is killed by the signal with clients in its backlog. Here it blocks in the
-  // middle of reading its configuration.
+TEST(ShutdownTest, ExitsCleanlyWhenTerminatedDuringStartup) {
+  // Guards against the signal killing the process while clients are in its backlog. The process is blocked
+  // while it reads its configuration when the signal arrives.
   asio::io_context io;
   FakeEndpoint server(io);
   FakeDiscovery discovery(io);
-  char dir[] = "/tmp/quota-gateway-test-XXXXXX";
-  ASSERT_NE(::mkdtemp(dir), nullptr);
-  const std::string fifo = std::string(dir) + "/config",
+  char directory[] = "/tmp/quota-gateway-test-XXXXXX";
+  ASSERT_NE(::mkdtemp(directory), nullptr);
+  const std::string fifo_path = std::string(directory) + "/config",
                     text = configuration_json(free_port(io), server, discovery);
-  ASSERT_EQ(::mkfifo(fifo.c_str(), 0600), 0);
-  const int file = ::open(fifo.c_str(), O_RDWR | O_CLOEXEC);
-  Process process(Process::From{fifo});
-  ASSERT_EQ(::write(file, text.data(), 10), 10);
-  int unread = 1;
-  ASSERT_TRUE(run_until(io, [&] { return ::ioctl(file, FIONREAD, &unread) == 0 && unread == 0; }));
+  ASSERT_EQ(::mkfifo(fifo_path.c_str(), 0600), 0);
+  const int fifo_fd = ::open(fifo_path.c_str(), O_RDWR | O_CLOEXEC);
+  Process process(Process::From{fifo_path});
+  ASSERT_EQ(::write(fifo_fd, text.data(), 10), 10);
+  int unread_bytes = 1;
+  ASSERT_TRUE(
+      run_until(io, [&] { return ::ioctl(fifo_fd, FIONREAD, &unread_bytes) == 0 && unread_bytes == 0; }));
   process.terminate();
-  EXPECT_EQ(::write(file, text.data() + 10, text.size() - 10), ssize_t(text.size() - 10));
-  ASSERT_TRUE(run_until(io, [&] { return ::ioctl(file, FIONREAD, &unread) == 0 && unread == 0; }));
-  ::close(file);
+  EXPECT_EQ(::write(fifo_fd, text.data() + 10, text.size() - 10), ssize_t(text.size() - 10));
+  ASSERT_TRUE(
+      run_until(io, [&] { return ::ioctl(fifo_fd, FIONREAD, &unread_bytes) == 0 && unread_bytes == 0; }));
+  ::close(fifo_fd);
   EXPECT_EQ(process.exit_code(), 0);
-  ::unlink(fifo.c_str());
-  ::rmdir(dir);
+  ::unlink(fifo_path.c_str());
+  ::rmdir(directory);
 }
 
-TEST(ShutdownTest, KeyedRequestIsNotRetriedIfALateConnectionWouldExceedTheDedupWindow) {
+TEST(ShutdownTest, DoesNotRetryKeyedRequestWhenLateConnectionWouldExceedDedupWindow) {
   Rig rig;
   FakeEndpoint s1(rig.io);
   FakeEndpoint s2(rig.io);
-  asio::steady_timer timer(rig.io);
-  int seen = 0;
+  asio::steady_timer reset_timer(rig.io);
+  int received_requests = 0;
   s1.on_request = s2.on_request = [&](Peer& connection, const HttpRequest&) {
-    if (++seen > 1) return connection.write(reply("200 OK", "", "x"));
-    timer.expires_after(std::chrono::milliseconds(450));
-    timer.async_wait([peer = connection.shared_from_this()](error_code) { peer->reset(); });
+    if (++received_requests > 1) return connection.write(reply("200 OK", "", "x"));
+    reset_timer.expires_after(std::chrono::milliseconds(450));
+    reset_timer.async_wait([peer = connection.shared_from_this()](error_code) { peer->reset(); });
   };
   rig.config.settings.connect_timeout = 250'000;
   rig.config.settings.classes[1].dedup_window = 600'000;
@@ -313,7 +318,7 @@
   const auto response = client.receive();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 502u);
-  EXPECT_EQ(seen, 1);
+  EXPECT_EQ(received_requests, 1);
 }
 
 }  // namespace
