--- a/src/client/client_listener.hpp
+++ b/src/client/client_listener.hpp
@@ -95,7 +95,7 @@
   std::unordered_map<std::uint64_t, std::shared_ptr<ClientSession>> sessions_;
   std::uint64_t last_client_id_ = 0;
   bool is_accept_pending_ = false;
-  bool is_accepting_backlog_ = false;  // stop_accepting() was called and is being retried
+  bool is_accepting_backlog_ = false;  // stop_accepting() was called and has not succeeded yet
   TimePoint listen_failure_logged_at_ = 0;
 };
 
