--- a/src/client/client_session.cpp
+++ b/src/client/client_session.cpp
@@ -131,7 +131,7 @@
     const RequestReader::Progress progress = reader_.parse_some();
     stall_detector_.on_body_data(progress.body_bytes);
     if (progress.error) return reject(*progress.error);
-    if (progress.is_head_new && !on_head_complete()) return;
+    if (progress.head_completed && !on_head_complete()) return;
     if (reader_.is_head_complete()) on_body_data();
     if (reader_.is_request_complete()) {
       on_request_complete();
--- a/src/client/request_reader.cpp
+++ b/src/client/request_reader.cpp
@@ -48,7 +48,7 @@
     progress.error = to_request_error(ec);
     return progress;
   }
-  progress.is_head_new = parser_->is_header_done() && !is_head_complete_;
+  progress.head_completed = parser_->is_header_done() && !is_head_complete_;
   is_head_complete_ = parser_->is_header_done();
   progress.needs_more_input = ec == http::error::need_more || consumed == 0;
   return progress;
--- a/src/client/request_reader.hpp
+++ b/src/client/request_reader.hpp
@@ -36,7 +36,7 @@
  public:
   // The result of one step.
   struct Progress {
-    bool is_head_new = false;       // this step completed the head
+    bool head_completed = false;    // this step completed the head
     bool needs_more_input = false;  // the request continues in bytes that have not been received
     std::size_t body_bytes = 0;     // that this step decoded
     std::optional<RequestError> error;
