--- a/src/client/client_request.cpp
+++ b/src/client/client_request.cpp
@@ -11,22 +11,23 @@
 namespace http = boost::beast::http;
 
 constexpr Duration kMaxTimeout = 3600'000'000;  // us
-constexpr double kMaxQuotaNumber = 1e6;         // larger values of Quota-Info are cut to this
+constexpr double kMaxQuotaInfoValue = 1e6;      // larger values are reduced to this limit
 constexpr std::size_t kCustomerIdLength = 16;   // hexadecimal digits
 
 std::string_view to_view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-// A finite number that is not negative. `header` names the source in the error.
+// Parses a finite, non-negative number. `header` names the header field in the error.
 double parse_number(std::string_view text, const char* header) {
   double value = 0;
   const char* const end = text.data() + text.size();
-  const auto [stop, ec] = std::from_chars(text.data(), end, value);
-  if (ec != std::errc() || stop != end || !std::isfinite(value) || value < 0)
+  const auto [ptr, ec] = std::from_chars(text.data(), end, value);
+  if (ec != std::errc() || ptr != end || !std::isfinite(value) || value < 0)
     throw BadRequest(std::string("bad ") + header);
   return value;
 }
 
-// A number with its unit: `m` for milliseconds, `u` for microseconds.
+// Parses a number that is followed by its unit: `m` for milliseconds, `u` for microseconds. Returns
+// microseconds, at most kMaxTimeout.
 Duration parse_timeout(std::string_view text) {
   if (text.size() < 2) throw BadRequest("bad X-Expires-In");
   const char unit = text.back();
@@ -36,15 +37,16 @@
   return Duration(std::min(value, double(kMaxTimeout)));
 }
 
-// One `name=value` of Quota-Info.
+// Parses one `name=value` field of Quota-Info; unknown names are ignored.
 void parse_quota_field(std::string_view field, double max_request_units, RequestArrived& arrived) {
-  const auto equals = field.find('=');
-  if (equals == std::string_view::npos) throw BadRequest("bad Quota-Info");
-  const std::string_view name = field.substr(0, equals);
-  const double value = std::min(parse_number(field.substr(equals + 1), "Quota-Info"), kMaxQuotaNumber);
+  const auto equals_sign = field.find('=');
+  if (equals_sign == std::string_view::npos) throw BadRequest("bad Quota-Info");
+  const std::string_view name = field.substr(0, equals_sign);
+  const double value =
+      std::min(parse_number(field.substr(equals_sign + 1), "Quota-Info"), kMaxQuotaInfoValue);
   if (name == "units") {
-    // An impossible cost would be added to the customer's total of all gateways, and would make the cost of
-    // every other request negligible.
+    // An implausibly high cost would be added to the customer's total over all gateways, where it would make
+    // the cost of every other request negligible.
     if (value <= 0 || value > max_request_units) throw BadRequest("bad Quota-Info");
     arrived.units = value;
   }
@@ -52,7 +54,7 @@
   if (name == "first") arrived.first_gateway_index = int(value);
 }
 
-// The comma-separated fields of Quota-Info.
+// Parses the comma-separated fields of Quota-Info.
 void parse_quota_info(std::string_view text, double max_request_units, RequestArrived& arrived) {
   arrived.gateway_set_size = 0;
   while (!text.empty()) {
@@ -69,7 +71,7 @@
          text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
 }
 
-// The class is the first segment of the path and the customer the last one.
+// Takes the class from the first segment of the path and the customer from the last one.
 void parse_path(std::string_view target, RequestArrived& arrived) {
   const std::string_view path = target.substr(0, target.find('?'));
   const auto last_slash = path.rfind('/');
@@ -96,8 +98,8 @@
   parse_path(target, arrived);
 
   const ClassSettings& request_class = find_class(settings, arrived.request_class);
-  const bool is_read = request_class.idempotency == Idempotency::kIdempotent;
-  const http::verb expected_method = is_read ? http::verb::get : http::verb::post;
+  const bool is_idempotent = request_class.idempotency == Idempotency::kIdempotent;
+  const http::verb expected_method = is_idempotent ? http::verb::get : http::verb::post;
   if (message.method() != expected_method) throw BadRequest("the method does not fit the class");
 
   outgoing.trace_id = std::string(to_view(message["X-Trace-Id"]));
--- a/src/client/client_request.hpp
+++ b/src/client/client_request.hpp
@@ -1,4 +1,4 @@
-// Reads a client's request from the head of its HTTP message.
+// Builds a client request from the head of an HTTP message.
 #pragma once
 
 #include <boost/beast/http/buffer_body.hpp>
@@ -14,21 +14,22 @@
 using RequestParser = boost::beast::http::request_parser<boost::beast::http::buffer_body>;
 using RequestMessage = RequestParser::value_type;
 
-// A validated request of a client.
+// A validated client request.
 struct ClientRequest {
-  RequestArrived arrived;     // `id` and `deadline` are filled in by the receiver
-  Duration timeout = 0;       // how long the client waits for the response
-  TimePoint received_at = 0;  // arrival of the last byte; 0 while the body is still to come
+  RequestArrived arrived;     // the receiver sets `id`, `deadline` and `body_pending`
+  Duration timeout = 0;       // how long the client waits for the final response
+  TimePoint received_at = 0;  // when the last byte arrived; 0 if the body is incomplete
   OutgoingRequest outgoing;
 };
 
-// The client's message violates the protocol or names something unknown; it is answered with 400.
+// A message violates the protocol or names an unknown class. The response is 400 with what() as its body.
 class BadRequest : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Validates the head of a message. Throws BadRequest if the protocol or the settings do not allow it.
+// Validates the head of a message and returns the request. Throws BadRequest if the protocol or the settings
+// do not permit it.
 ClientRequest parse_request(const RequestMessage& message, const Settings& settings);
 
 }  // namespace quota_gateway::net
--- a/src/client/last_byte_estimator.cpp
+++ b/src/client/last_byte_estimator.cpp
@@ -3,7 +3,8 @@
 namespace quota_gateway::net {
 namespace {
 
-// As much of a body as the send buffer of the client's kernel may hold after the client itself is done.
+// Upper limit for the part of a body that the send buffer of the client's kernel may still hold after the
+// client has written all of it.
 constexpr std::size_t kMaxClientSendBuffer = 4 << 20;  // bytes
 
 }  // namespace
--- a/src/client/last_byte_estimator.hpp
+++ b/src/client/last_byte_estimator.hpp
@@ -1,4 +1,4 @@
-// Estimates when a client sent the last byte of a streamed body that is read with a delay.
+// Estimates when a client sent the last byte of a streamed body that the gateway reads with a delay.
 #pragma once
 
 #include <cstddef>
@@ -9,32 +9,37 @@
 
 namespace quota_gateway::net {
 
-// A client counts its timeout from the last byte that it sent. Under backpressure this byte may wait unread
-// in the kernel, so the estimate is the latest instant at which part of the body was certainly not sent yet.
+// A client's timeout starts when the client sends the last byte of its request. Under backpressure this byte
+// may wait unread in the kernel, so the estimate is the latest instant at which the client had certainly not
+// sent the whole body.
 class LastByteEstimator {
  public:
   struct Observation {
-    // Of the declared length; without one (a chunked body), the last read is the only evidence.
+    // Bytes of the declared length that are not parsed yet. std::nullopt for a chunked body, where the last
+    // read is the only evidence.
     std::optional<std::uint64_t> remaining_bytes;
-    std::size_t unread_bytes = 0;  // in the kernel
+    std::size_t unread_bytes = 0;  // bytes that wait in the kernel
     TimePoint last_read_at = 0;
     TimePoint now = 0;
   };
 
-  // Reading was suspended; data may wait in the kernel from now on.
+  // Reading is suspended; from now on data may wait in the kernel.
   void on_read_suspended() { is_read_suspended_ = true; }
   // The socket became readable.
   void on_readable(TimePoint now);
-  // Everything that the kernel had received was read.
+  // All data that the kernel had received has been read.
   void on_all_read(TimePoint now);
-  // Compares the rest of the body with the data that waits unread in the kernel.
+  // Sets the estimate to `now` if more of the body remains than the kernels of both ends can hold. For a
+  // chunked body, sets it to the last read.
   void update(const Observation& observation);
 
+  // Whether reading was suspended after the last time that all data was read.
   [[nodiscard]] bool is_read_suspended() const { return is_read_suspended_; }
+  // The estimate. The last byte may have waited in the kernel since this instant.
   [[nodiscard]] TimePoint last_byte_pending_since() const { return last_byte_pending_since_; }
 
  private:
-  bool is_read_suspended_ = false;  // since the last time that everything was read
+  bool is_read_suspended_ = false;
   TimePoint last_byte_pending_since_ = 0;
 };
 
--- a/src/client/request_reader.cpp
+++ b/src/client/request_reader.cpp
@@ -40,9 +40,9 @@
 RequestReader::Progress RequestReader::parse_some() {
   Progress progress;
   error_code ec;
-  const std::size_t body_size_before = body_.size();
+  const std::size_t previous_body_size = body_.size();
   const std::size_t consumed = put(*parser_, input_, body_, ec);
-  progress.body_bytes = body_.size() - body_size_before;
+  progress.body_bytes = body_.size() - previous_body_size;
   consume(consumed);
   if (ec && ec != http::error::need_more) {
     progress.error = to_request_error(ec);
--- a/src/client/request_reader.hpp
+++ b/src/client/request_reader.hpp
@@ -13,13 +13,13 @@
 
 namespace quota_gateway::net {
 
-// Limit for the unread bytes of pipelined requests.
+// Limit for the unparsed bytes that are read ahead, such as pipelined requests.
 constexpr std::size_t kMaxReadAhead = 16 << 10;  // bytes
 
-// What the connection has to know of a request's head beside the request itself.
+// The properties of a request's head that the connection needs in addition to the request itself.
 struct RequestHead {
   bool keep_alive = true;
-  unsigned http_version = 11;  // as 10 or 11
+  unsigned http_version = 11;  // 10 or 11
   bool expects_continue = false;
   bool is_health_check = false;
 };
@@ -30,46 +30,46 @@
   std::string reason;
 };
 
-// Buffers received bytes and parses them step by step. The body that was decoded so far waits in body() until
-// the caller takes or clears it.
+// Buffers received bytes and parses them incrementally. Decoded body data accumulates in body() until the
+// caller takes or clears it.
 class RequestReader {
  public:
-  // The result of one step.
+  // The result of one parse_some().
   struct Progress {
-    bool head_completed = false;    // this step completed the head
-    bool needs_more_input = false;  // the request continues in bytes that have not been received
-    std::size_t body_bytes = 0;     // that this step decoded
+    bool head_completed = false;    // the head became complete
+    bool needs_more_input = false;  // the rest of the request has not been received
+    std::size_t body_bytes = 0;     // decoded from the body
     std::optional<RequestError> error;
   };
 
   // Adds bytes that the client sent; the latest of them arrived at `received_at`.
   void append(std::string_view bytes, TimePoint received_at);
-  // Drops all input that is not parsed yet.
+  // Discards all unparsed input.
   void clear_input() { input_.clear(); }
   [[nodiscard]] bool has_input() const { return !input_.empty(); }
   [[nodiscard]] std::size_t input_size() const { return input_.size(); }
-  // Whether the input is too long for the head of a request.
+  // Whether the unparsed input is longer than the head of a request may be.
   [[nodiscard]] bool is_input_oversized() const;
 
-  // Begins a request; parse_some() may be called until end_request().
+  // Begins a request. parse_some() may be called from now until end_request().
   void begin_request();
   void end_request() { parser_.reset(); }
   [[nodiscard]] bool is_in_request() const { return parser_.has_value(); }
-  // Parses as much of the input as the parser takes at once.
+  // Parses as much of the input as the parser accepts in one call.
   Progress parse_some();
 
   [[nodiscard]] bool is_head_complete() const { return is_head_complete_; }
   [[nodiscard]] bool is_request_complete() const { return parser_ && parser_->is_done(); }
-  // The head of the present request, once it is complete.
+  // Returns the head of the current request. Requires a complete head.
   [[nodiscard]] RequestHead head() const;
-  // Validates the present request. Throws BadRequest.
+  // Validates and returns the current request. Throws BadRequest. Requires a complete head.
   [[nodiscard]] ClientRequest parse_request(const Settings& settings) const;
-  // The declared length of the body; none if it is chunked, or if there is no body.
+  // The declared length of the body in bytes; std::nullopt if the body is chunked, or if there is none.
   [[nodiscard]] std::optional<std::uint64_t> content_length() const;
-  // How much of the declared length has not been parsed.
+  // Bytes of the declared length that are not parsed yet; std::nullopt if no length is declared.
   [[nodiscard]] std::optional<std::uint64_t> remaining_content_length() const;
-  // When the last parsed byte arrived. The time of a pipelined request counts from its own arrival, not from
-  // the end of the request before it.
+  // When the last parsed byte arrived. The timeout of a pipelined request starts with its own arrival, not
+  // with the end of the previous request.
   [[nodiscard]] TimePoint last_byte_received_at() const { return arrivals_.front().received_at; }
 
   [[nodiscard]] const std::string& body() const { return body_; }
@@ -77,16 +77,17 @@
   void clear_body() { body_.clear(); }
 
  private:
-  // The bytes of one read.
+  // The arrival of the bytes of one append().
   struct Arrival {
-    std::uint64_t stream_end = 0;  // number of bytes received on the connection, these included
+    std::uint64_t stream_end = 0;  // bytes received on the connection up to the end of this read
     TimePoint received_at = 0;
   };
+  // Removes the first `size` bytes of the input, which have been parsed.
   void consume(std::size_t size);
 
   std::string input_;
   std::string body_;
-  std::vector<Arrival> arrivals_;  // of the unparsed bytes and of the last parsed one
+  std::vector<Arrival> arrivals_;  // of all unparsed bytes and of the last parsed byte
   std::uint64_t bytes_received_ = 0;
   std::uint64_t bytes_parsed_ = 0;
   std::optional<RequestParser> parser_;
--- a/src/client/response_writer.cpp
+++ b/src/client/response_writer.cpp
@@ -19,7 +19,7 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr Duration kMinRetryAfter = 1000;  // us; the header has three decimals
+constexpr Duration kMinRetryAfter = 1000;  // us; the header has three decimal places
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 std::string retry_after_header(Duration retry_after) {
@@ -63,9 +63,9 @@
   return http_version >= kHttp11 ? ResponseFraming::kChunked : ResponseFraming::kUntilClose;
 }
 
-ResponseWriter::ResponseWriter(tcp::socket& socket, const Clock& clock, BodyBudget::Share& share,
+ResponseWriter::ResponseWriter(tcp::socket& socket, const Clock& clock, BodyBudget::Share& buffer_share,
                                ResponseWriterOwner& owner)
-    : socket_(socket), clock_(clock), share_(share), owner_(owner) {}
+    : socket_(socket), clock_(clock), buffer_share_(buffer_share), owner_(owner) {}
 
 void ResponseWriter::send_continue() {
   unsent_continue_ = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -78,16 +78,16 @@
 
 void ResponseWriter::write_response(const Response& response, bool close) {
   state_ = State::kCompleting;
-  start(serialize(response, close));
+  start_write(serialize(response, close));
 }
 
 void ResponseWriter::start_stream(ResponseFraming framing, std::optional<std::uint64_t> length, bool close) {
   state_ = State::kStreaming;
   framing_ = framing;
-  start(serialize_stream_head(framing, length, close));
+  start_write(serialize_stream_head(framing, length, close));
 }
 
-void ResponseWriter::start(std::string bytes) {
+void ResponseWriter::start_write(std::string bytes) {
   buffer_ = std::exchange(unsent_continue_, {}) + std::move(bytes);
   flush();
 }
@@ -127,7 +127,7 @@
 void ResponseWriter::flush() {
   is_write_pending_ = true;
   last_progress_at_ = clock_.now();
-  share_.set(buffer_.size() + next_buffer_.size());
+  buffer_share_.set(buffer_.size() + next_buffer_.size());
   write_some(0);
 }
 
@@ -155,13 +155,13 @@
   is_write_pending_ = false;
   if (!next_buffer_.empty()) return flush_chunks();
   if (state_ == State::kCompleting) return complete();
-  share_.set(0);
+  buffer_share_.set(0);
   owner_.on_chunks_written();
 }
 
 void ResponseWriter::complete() {
   buffer_ = {};
-  share_.set(0);
+  buffer_share_.set(0);
   state_ = State::kIdle;
   owner_.on_response_written();
 }
--- a/src/client/response_writer.hpp
+++ b/src/client/response_writer.hpp
@@ -13,10 +13,11 @@
 
 namespace quota_gateway::net {
 
-// How a client recognises the end of a streamed response.
+// How the end of a streamed response is marked.
 enum class ResponseFraming { kContentLength, kChunked, kUntilClose };
 
-// Chunks need HTTP/1.1. Without them and without a length the end of the connection ends the response.
+// Returns the framing of a response with this length, if known. Chunked encoding requires HTTP/1.1; an older
+// client recognises the end of a response without a length by the close of the connection.
 ResponseFraming select_framing(std::optional<std::uint64_t> length, unsigned http_version);
 
 // The connection whose responses are written.
@@ -31,33 +32,33 @@
 
   // Keeps the owner, and the writer in it, alive during an asynchronous operation.
   virtual std::shared_ptr<void> retain() = 0;
-  // All chunks so far are written, and the response is not finished.
+  // All chunks added so far are written, and the streamed response is not finished.
   virtual void on_chunks_written() = 0;
-  // The response is written to its end.
+  // The whole response is written.
   virtual void on_response_written() = 0;
-  // The socket failed.
+  // Writing to the socket failed.
   virtual void on_write_failed() = 0;
 };
 
-// Writes one response at a time, either complete or as a stream of chunks. Bytes that the kernel does not
-// take are counted in `share`.
+// Writes one response at a time, either complete or as a stream of chunks. Bytes that the kernel has not
+// accepted are counted in `buffer_share`.
 class ResponseWriter {
  public:
-  ResponseWriter(boost::asio::ip::tcp::socket& socket, const Clock& clock, BodyBudget::Share& share,
+  ResponseWriter(boost::asio::ip::tcp::socket& socket, const Clock& clock, BodyBudget::Share& buffer_share,
                  ResponseWriterOwner& owner);
 
-  // Invites a client that sent `Expect: 100-continue` to send its body. What the kernel does not take at once
-  // is written before the response.
+  // Sends 100 Continue to a client that expects it before it sends its body. Bytes that the kernel does not
+  // accept at once are sent with the response.
   void send_continue();
-  // Writes a complete response. `close`: announces that the connection ends after it.
+  // Writes a complete response. `close` announces that the connection is closed after it.
   void write_response(const Response& response, bool close);
-  // Begins a streamed response.
+  // Begins a streamed response; `length` is the size of its body in bytes, if known.
   void start_stream(ResponseFraming framing, std::optional<std::uint64_t> length, bool close);
-  // Adds a chunk to a streamed response; ignored if there is none.
+  // Adds a chunk to the streamed response; ignored if none is in progress.
   void write_chunk(const std::string& bytes);
-  // Ends a streamed response.
+  // Ends the streamed response; ignored if none is in progress.
   void finish_stream();
-  // Ends the work of the writer because the connection is closed.
+  // Stops all further writes and callbacks, because the connection is closed.
   void cancel() { state_ = State::kCancelled; }
 
   // Whether a streamed response has begun and is not finished.
@@ -68,11 +69,11 @@
  private:
   enum class State {
     kIdle,
-    kStreaming,   // more chunks may follow
-    kCompleting,  // the end of the response is in the buffers
+    kStreaming,   // more chunks can follow
+    kCompleting,  // the end of the response is buffered
     kCancelled,
   };
-  void start(std::string bytes);
+  void start_write(std::string bytes);
   void flush_chunks();
   void flush();
   void write_some(std::size_t offset);
@@ -82,13 +83,13 @@
 
   boost::asio::ip::tcp::socket& socket_;
   const Clock& clock_;
-  BodyBudget::Share& share_;
+  BodyBudget::Share& buffer_share_;
   ResponseWriterOwner& owner_;
   State state_ = State::kIdle;
   ResponseFraming framing_ = ResponseFraming::kContentLength;
-  std::string unsent_continue_;
-  std::string buffer_;       // being written
-  std::string next_buffer_;  // chunks that came meanwhile
+  std::string unsent_continue_;  // rest of a 100 Continue that the kernel has not accepted
+  std::string buffer_;           // the data of the pending write
+  std::string next_buffer_;      // chunks added during the pending write
   bool is_write_pending_ = false;
   TimePoint last_progress_at_ = 0;  // of the pending write
 };
--- a/src/client/stall_detector.cpp
+++ b/src/client/stall_detector.cpp
@@ -5,10 +5,11 @@
 namespace quota_gateway::net {
 namespace {
 
-// For the head of a request, which may take 2 s, and between any two bytes of it. A client that stops must
-// see an error or a close within 3 s; the interval of the checks and a busy gateway take some of these.
+// Limit for the head of a request, which may take 2 s, and for the time between any two of its bytes. A
+// client that stops sending must see an error or a close within 3 s; the interval of the checks and the
+// delays of a busy gateway use up part of these.
 constexpr Duration kClientStallTimeout = 2'400'000;  // us
-// The slowest permitted client. The protocol asks for 64 kB per second.
+// The slowest permitted body. The protocol requires 64 kB per second.
 constexpr double kMinBodyRate = 60e3;  // bytes per second
 constexpr double kMicrosecondsPerSecond = 1e6;
 
@@ -40,9 +41,9 @@
 }
 
 bool StallDetector::is_request_overdue(TimePoint now, bool has_sent_request) const {
-  const auto body_time = Duration(double(body_bytes_) / kMinBodyRate * kMicrosecondsPerSecond);
+  const auto min_rate_body_time = Duration(double(body_bytes_) / kMinBodyRate * kMicrosecondsPerSecond);
   const TimePoint started_at = has_sent_request ? request_started_at_ : request_awaited_since_;
-  return now - started_at > kClientStallTimeout + backpressure_time_ + body_time;
+  return now - started_at > kClientStallTimeout + backpressure_time_ + min_rate_body_time;
 }
 
 }  // namespace quota_gateway::net
--- a/src/client/upload_producer.cpp
+++ b/src/client/upload_producer.cpp
@@ -4,15 +4,15 @@
 
 namespace quota_gateway::net {
 
-UploadProducer::UploadProducer(const Clock& clock, const BodyBudget& budget, BodyBudget::Share& share,
+UploadProducer::UploadProducer(const Clock& clock, const BodyBudget& budget, BodyBudget::Share& buffer_share,
                                StallDetector& stall_detector)
-    : clock_(clock), budget_(budget), share_(share), stall_detector_(stall_detector) {}
+    : clock_(clock), budget_(budget), buffer_share_(buffer_share), stall_detector_(stall_detector) {}
 
 std::shared_ptr<BodyUpload> UploadProducer::start(std::optional<std::uint64_t> length,
                                                   const std::string& body, Callbacks callbacks) {
   upload_ = std::make_shared<BodyUpload>(length);
   upload_->append(body);
-  share_.set(upload_->size());
+  buffer_share_.set(upload_->size());
   upload_->on_consumer_ready = std::move(callbacks.on_consumer_ready);
   on_drained_ = std::move(callbacks.on_drained);
   return upload_;
@@ -20,30 +20,29 @@
 
 void UploadProducer::await_drained() {
   upload_->on_drained = on_drained_;
-  note_backpressure();
+  report_backpressure();
 }
 
 void UploadProducer::on_drained() {
   stall_detector_.on_backpressure_ended(clock_.now());
-  share_.set(0);
+  buffer_share_.set(0);
   await_drained();
 }
 
 void UploadProducer::append(const std::string& data) {
   upload_->append(data);
-  share_.set(upload_->size());
-  note_backpressure();
+  buffer_share_.set(upload_->size());
+  report_backpressure();
 }
 
 void UploadProducer::finish() {
   const std::shared_ptr<BodyUpload> upload = release();
-  share_.set(0);
+  buffer_share_.set(0);
   upload->finish();
 }
 
 void UploadProducer::abandon() { release(); }
 
-// Detaches the upload, so that its consumer no longer reaches this connection.
 std::shared_ptr<BodyUpload> UploadProducer::release() {
   std::shared_ptr<BodyUpload> upload = std::exchange(upload_, nullptr);
   upload->on_consumer_ready = nullptr;
@@ -53,7 +52,7 @@
 
 bool UploadProducer::is_full() const { return upload_ && upload_->size() >= budget_.buffered_body_limit(); }
 
-void UploadProducer::note_backpressure() {
+void UploadProducer::report_backpressure() {
   if (is_full()) stall_detector_.on_backpressure_started(clock_.now());
 }
 
