--- a/src/client/client_request.hpp
+++ b/src/client/client_request.hpp
@@ -22,7 +22,8 @@
   OutgoingRequest outgoing;
 };
 
-// A message violates the protocol or names an unknown class. The response is 400 with what() as its body.
+// A message violates the protocol or names an unknown class. It is answered with 400 and what() as the
+// reason.
 class BadRequest : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/client/request_reader.hpp
+++ b/src/client/request_reader.hpp
@@ -36,9 +36,9 @@
  public:
   // The result of one parse_some().
   struct Progress {
-    bool head_completed = false;    // the head became complete
+    bool head_completed = false;    // the head became complete in this call
     bool needs_more_input = false;  // the rest of the request has not been received
-    std::size_t body_bytes = 0;     // decoded from the body
+    std::size_t body_bytes = 0;     // decoded in this call
     std::optional<RequestError> error;
   };
 
@@ -48,7 +48,7 @@
   void clear_input() { input_.clear(); }
   [[nodiscard]] bool has_input() const { return !input_.empty(); }
   [[nodiscard]] std::size_t input_size() const { return input_.size(); }
-  // Whether the unparsed input is longer than the head of a request may be.
+  // Whether the unparsed input exceeds the size limit for the head of a request.
   [[nodiscard]] bool is_input_oversized() const;
 
   // Begins a request. parse_some() may be called from now until end_request().
