--- a/src/client/request_reader.cpp
+++ b/src/client/request_reader.cpp
@@ -40,15 +40,15 @@
 RequestReader::Progress RequestReader::parse_some() {
   Progress progress;
   error_code ec;
-  const std::size_t body_size_before = body_.size();
+  const std::size_t previous_body_size = body_.size();
   const std::size_t consumed = put(*parser_, input_, body_, ec);
-  progress.body_bytes = body_.size() - body_size_before;
+  progress.body_bytes = body_.size() - previous_body_size;
   consume(consumed);
   if (ec && ec != http::error::need_more) {
     progress.error = to_request_error(ec);
     return progress;
   }
-  progress.is_head_new = parser_->is_header_done() && !is_head_complete_;
+  progress.head_completed = parser_->is_header_done() && !is_head_complete_;
   is_head_complete_ = parser_->is_header_done();
   progress.needs_more_input = ec == http::error::need_more || consumed == 0;
   return progress;
