--- a/src/decision/quota/concurrency_cap.cpp
+++ b/src/decision/quota/concurrency_cap.cpp
@@ -1,4 +1,4 @@
-// The cap on a customer's concurrent attempts.
+// This gateway's share of a customer's concurrency cap.
 #include "decision/quota/concurrency_cap.hpp"
 
 #include <algorithm>
--- a/src/decision/quota/counter_pacer.cpp
+++ b/src/decision/quota/counter_pacer.cpp
@@ -13,26 +13,26 @@
 constexpr double kMinRate = 1;        // calls/s; enough to notice that the counter has recovered
 constexpr double kMinBucketSize = 4;  // calls
 
-// Increases of the rate, in calls/s, after each reply in time. The first one doubles the rate each second; it
-// applies until the first decrease.
+// Increases of the rate, in calls/s, after each successful reply that is not slow. The initial increase
+// applies until the first decrease and doubles the rate each second.
 constexpr double kInitialIncrease = 1;
 constexpr double kAdditiveIncrease = 0.1;
 
-// Decreases of the rate, as a factor.
+// Factors by which the rate is decreased.
 constexpr double kTimeoutDecrease = 0.5;   // after a call without a reply
 constexpr double kOverloadDecrease = 0.8;  // after a refused call or a slow reply
 
-// A reply is slow if this many times its duration is more than the reply timeout.
+// A reply is slow if its duration multiplied by this factor exceeds the reply timeout.
 constexpr int kSlowReplyFactor = 2;
 
-// The pace counts as limiting while less than this part of the bucket is available.
+// The rate limits the calls while less than this fraction of the bucket is available.
 constexpr double kLimitingBucketFraction = 0.75;
 
-// Least interval between decreases, in reply timeouts. In this time a queue of three timeouts drains at half
-// the rate, so replies that were delayed by it do not decrease the rate again.
-constexpr int kDecreaseInterval = 8;
+// Minimum interval between decreases, in reply timeouts. At half the rate, a queue of three timeouts drains
+// within this interval, so replies that were delayed by the queue do not decrease the rate again.
+constexpr int kDecreaseIntervalTimeouts = 8;
 
-// How much each carried request after the first counts towards a deferrable call.
+// Weight of each request after the first that a deferrable call carries.
 constexpr double kCarriedRequestWeight = 0.25;
 
 constexpr int kUnavailableAfterFailures = 6;
@@ -58,7 +58,7 @@
   const bool succeeded = reply.outcome == CounterOutcome::kOk;
   const bool recovered = succeeded && is_counter_unavailable();
   state_.consecutive_failures = succeeded ? 0 : state_.consecutive_failures + 1;
-  // After an outage the pace resumes at half of the rate before it, because the failures in between have
+  // After an outage the rate resumes at half of its value before the outage, because the failures have
   // decreased it to the minimum.
   if (state_.consecutive_failures == 1) state_.resume_rate = kTimeoutDecrease * state_.calls_per_second;
   if (recovered) state_.calls_per_second = std::max(state_.calls_per_second, state_.resume_rate);
@@ -77,7 +77,7 @@
 double CounterPacer::max_available_calls() const { return std::max(kMinBucketSize, state_.calls_per_second); }
 
 void CounterPacer::decrease_rate(TimePoint now, CounterOutcome outcome, Duration reply_timeout) {
-  if (now - state_.last_decrease_at < kDecreaseInterval * reply_timeout) return;
+  if (now - state_.last_decrease_at < kDecreaseIntervalTimeouts * reply_timeout) return;
   const double factor = outcome == CounterOutcome::kUnknown ? kTimeoutDecrease : kOverloadDecrease;
   state_.calls_per_second = std::max(kMinRate, factor * state_.calls_per_second);
   state_.last_decrease_at = now;
--- a/src/decision/quota/counter_sync.cpp
+++ b/src/decision/quota/counter_sync.cpp
@@ -1,4 +1,4 @@
-// Increments of the shared counter, and what follows from its totals.
+// Increments of the shared counter, and the remote demand estimated from its totals.
 #include "decision/quota/counter_sync.hpp"
 
 #include <utility>
@@ -11,18 +11,18 @@
 
 namespace {
 
-// A total below this part of the units that this gateway itself has added shows that the counter lost some.
+// A total below this fraction of the units that this gateway has added shows that the counter has lost units.
 constexpr double kLostUnitsTolerance = 0.999;
 
-// Whether the last total still informs about the remote demand. At one of many gateways a customer's
-// requests are so rare that it often does not.
+// Returns whether the last total is recent enough to show the remote demand. At one of many gateways it often
+// is not, because the customer's requests there are rare.
 bool has_recent_total(TimePoint now, const CustomerQuota& customer) {
   if (customer.last_total_at <= 0) return false;
   const auto age_micros = static_cast<double>(now - customer.last_total_at);
   return age_micros <= demand_time_constant(customer) * kMicrosPerSecond;
 }
 
-// After the counter has lost units, its total covers the demand from now on only.
+// After the counter has lost units, its total covers only the demand from now on.
 void restart_total(TimePoint now, double total, CustomerQuota& customer) {
   customer.reported_units = total;
   customer.total_covers_since = now;
@@ -34,13 +34,13 @@
 bool CounterSync::sync_if_due(TimePoint now, const std::string& customer_id, CustomerQuota& customer,
                               std::vector<Action>& actions) {
   if (!settings_.has_counter || customer.quota_rate <= 0 || customer.unreported_units <= 0) return false;
-  const bool is_known = has_recent_total(now, customer);
-  if (!is_known && customer.syncs_in_flight > 0) return !pacer_.is_counter_unavailable();
+  const bool is_total_recent = has_recent_total(now, customer);
+  if (!is_total_recent && customer.increments_in_flight > 0) return !pacer_.is_counter_unavailable();
   pacer_.refill(now);
-  if (customer.syncs_in_flight > 0) return false;
-  // A customer without a recent total comes first: its remote demand is unknown until a call has been made.
-  if (is_known) {
-    if (now - customer.last_sync_at < kPeriod) return false;
+  if (customer.increments_in_flight > 0) return false;
+  // Customers without a recent total have priority, because their remote demand is unknown without a call.
+  if (is_total_recent) {
+    if (now - customer.last_increment_at < kPeriod) return false;
     if (!pacer_.is_deferrable_call_available(customer.unreported_requests)) return false;
   } else if (!pacer_.is_call_available()) {
     return false;
@@ -48,18 +48,18 @@
   pacer_.consume_call();
   start_epoch_if_due(now, customer);
   send_increment(now, customer_id, customer, actions);
-  return !is_known && !pacer_.is_counter_unavailable();
+  return !is_total_recent && !pacer_.is_counter_unavailable();
 }
 
 void CounterSync::sync_periodically(TimePoint now, const std::string& customer_id, CustomerQuota& customer,
                                     std::vector<Action>& actions) {
-  const double unreported_before = customer.unreported_units;
+  const double previous_unreported_units = customer.unreported_units;
   sync_if_due(now, customer_id, customer, actions);
-  // Many calls are made in this pass, after the unreported demand has grown for a period; its mean over the
-  // period is about half of that.
-  const double unreported_mean = (unreported_before + customer.unreported_units) / 2;
+  // This pass makes many calls after the unreported demand has grown for a period. Its mean over the period
+  // is about half of its amount before the call.
+  const double mean_unreported_units = (previous_unreported_units + customer.unreported_units) / 2;
   const double demand_units = customer.local_demand_rate * demand_time_constant(customer);
-  unreported_fraction_.add_sample(customer.plan, demand_units, unreported_mean);
+  unreported_fraction_.add_sample(customer.plan, demand_units, mean_unreported_units);
 }
 
 std::optional<CounterSync::PendingIncrement> CounterSync::on_reply(TimePoint now, const CounterReply& reply) {
@@ -73,12 +73,12 @@
 
 void CounterSync::apply_reply(TimePoint now, const CounterReply& reply, const PendingIncrement& increment,
                               CustomerQuota& customer) {
-  --customer.syncs_in_flight;
+  --customer.increments_in_flight;
   if (reply.outcome == CounterOutcome::kNotAdded) customer.unreported_units += increment.units;
-  if (reply.outcome != CounterOutcome::kOk || epoch_clock_.is_distrusted(now, customer)) return;
+  if (reply.outcome != CounterOutcome::kOk || epoch_clock_.may_mix_scales(now, customer)) return;
   advance_slice(now, customer);
-  const double seconds_since_sync = to_seconds(now - customer.last_sync_at);
-  customer.reported_units += increment.units * demand_decay(customer, seconds_since_sync);
+  const double seconds_since_increment = to_seconds(now - customer.last_increment_at);
+  customer.reported_units += increment.units * demand_decay(customer, seconds_since_increment);
   const double total = reply.total / epoch_clock_.scale(now, customer);
   if (total < customer.reported_units * kLostUnitsTolerance) {
     restart_total(now, total, customer);
@@ -114,8 +114,8 @@
                        .ttl = kCounterNameTtl});
   customer.unreported_units = 0;
   customer.unreported_requests = 0;
-  customer.last_sync_at = now;
-  ++customer.syncs_in_flight;
+  customer.last_increment_at = now;
+  ++customer.increments_in_flight;
 }
 
 void CounterSync::apply_total(TimePoint now, double total, CustomerQuota& customer) const {
@@ -131,9 +131,9 @@
   share_fleet_tokens(customer);
 }
 
-// No total contains what the other gateways have not reported yet; where there are many, that would admit a
-// large part of the demand beyond the quota. Many gateways are alike, so each takes its own unreported
-// fraction for that of the others. Between few gateways the fractions differ too much.
+// No total includes the demand that the other gateways have not reported yet. With many gateways, ignoring it
+// would admit much of the demand beyond the quota. Many gateways have similar unreported fractions, so each
+// uses its own as an estimate of the others'. With few gateways the fractions differ too much.
 double CounterSync::remote_unreported_fraction(const CustomerQuota& customer) const {
   if (settings_.gateway_count < kManyGateways) return 0;
   return unreported_fraction_.estimate(customer.plan);
--- a/src/decision/quota/counter_sync.hpp
+++ b/src/decision/quota/counter_sync.hpp
@@ -1,4 +1,4 @@
-// Synchronizes the customers' demand with the other gateways through the shared counter.
+// Shares the customers' demand with the other gateways through the shared counter.
 #pragma once
 
 #include <cstdint>
@@ -18,9 +18,9 @@
 
 namespace quota_gateway::decision {
 
-// Sends increments with the demand that was met here, and estimates the remote demand from the totals that
-// come back. Owns the increments in flight, the pace of the calls and the epochs; the customers are
-// QuotaSlices'.
+// Sends increments with the demand at this gateway, and estimates the demand at the other gateways from the
+// totals in the replies. Owns the increments in flight, the call pacer and the epoch clock; QuotaSlices owns
+// the customers.
 class CounterSync {
  public:
   // An increment that the counter has not replied to yet.
@@ -31,29 +31,30 @@
 
   explicit CounterSync(const Settings& settings) : settings_(settings) {}
 
-  // Sends the customer's unreported demand to the counter if that is due. Returns whether the customer's
-  // first total is in flight and worth waiting for.
+  // Sends the customer's unreported demand to the counter if that is due. Returns whether a request should
+  // wait for the reply: an increment is in flight, the customer has no recent total, and the counter is not
+  // unavailable.
   bool sync_if_due(TimePoint now, const std::string& customer_id, CustomerQuota& customer,
                    std::vector<Action>& actions);
 
   // The same for the periodic pass over all customers, which also measures how much demand is unreported.
-  // `finish_period` ends the pass.
+  // Call `finish_period` at the end of the pass.
   void sync_periodically(TimePoint now, const std::string& customer_id, CustomerQuota& customer,
                          std::vector<Action>& actions);
   void finish_period() { unreported_fraction_.finish_period(); }
 
-  // Takes note of a reply or a failure and adapts the pace. Returns the increment that it belongs to, if any;
-  // `apply_reply` is to follow with its customer.
+  // Adapts the rate of calls to a reply or failure. Returns the increment that it belongs to, which the
+  // caller must pass to `apply_reply`, or std::nullopt if there is none.
   std::optional<PendingIncrement> on_reply(TimePoint now, const CounterReply& reply);
 
-  // Updates the customer's remote demand and tokens by the reply to one of its increments.
+  // Updates the customer's remote demand and tokens from the reply to one of its increments.
   void apply_reply(TimePoint now, const CounterReply& reply, const PendingIncrement& increment,
                    CustomerQuota& customer);
 
-  // The customer's units in increments without a reply.
+  // Returns the units in the customer's increments that have no reply yet.
   [[nodiscard]] double units_in_flight(const std::string& customer_id) const;
 
-  // As for CounterEpochClock.
+  // See CounterEpochClock::set_wall_offset.
   bool set_wall_offset(TimePoint now, Duration offset) { return epoch_clock_.set_wall_offset(now, offset); }
 
   CounterPacer& pacer() { return pacer_; }
--- a/src/decision/quota/customer_quota.hpp
+++ b/src/decision/quota/customer_quota.hpp
@@ -1,4 +1,4 @@
-// The quota state that this gateway keeps of one customer.
+// The quota state that this gateway keeps for one customer.
 #pragma once
 
 #include <cstdint>
@@ -10,41 +10,41 @@
 
 namespace quota_gateway::decision {
 
-// Plain data: the other modules of this folder compute with it, QuotaSlices owns all instances. Amounts are
-// in units of the customer's quota; under a plan that has a concurrency cap only, a unit is one second of one
-// attempt in flight.
+// Plain data that the other modules of this folder read and update. QuotaSlices owns all instances. Amounts
+// are in units of the customer's quota; under a plan that has only a concurrency cap, a unit is one second of
+// one attempt in flight.
 struct CustomerQuota {
   // The quota and the gateways that share it.
   const PlanSettings* plan = nullptr;
-  std::uint64_t id_hash = 0;     // of the customer's id; the same on every gateway
-  int gateway_set_size = 1;      // gateways through which the customer's requests may come
-  int gateway_set_position = 0;  // of this gateway in that set, from 0
-  double quota_rate = 0;         // units a second over all gateways; 0: no quota
+  std::uint64_t id_hash = 0;     // of the customer ID; the same on every gateway
+  int gateway_set_size = 1;      // gateways through which the customer's requests may arrive
+  int gateway_set_position = 0;  // index of this gateway in that set
+  double quota_rate = 0;         // units per second over all gateways; 0: no quota
   TimePoint last_request_at = 0;
 
   // Demand, rejected requests included. The sums decay with the demand time constant.
-  TimePoint advanced_at = 0;      // the decaying sums and the tokens are valid as of then
-  double local_demand_rate = 0;   // units a second requested at this gateway; decaying mean
-  double remote_demand_rate = 0;  // units a second requested at the other gateways, as last estimated
-  double unreported_units = 0;    // requested here and not yet sent to the counter; decaying
-  int unreported_requests = 0;    // the requests that these units came in
+  TimePoint advanced_at = 0;      // time of the last update of the decaying sums and the tokens
+  double local_demand_rate = 0;   // units per second requested at this gateway; decaying mean
+  double remote_demand_rate = 0;  // units per second requested at the other gateways, as last estimated
+  double unreported_units = 0;    // requested at this gateway and not yet sent to the counter; decaying
+  int unreported_requests = 0;    // the number of requests in `unreported_units`
 
   // The token buckets.
-  double estimated_fleet_tokens = 0;  // what the customer has left over all gateways; below 0: a debt
-  double tokens = 0;                  // what this gateway may admit of it
+  double estimated_fleet_tokens = 0;  // left over all gateways; negative: debt
+  double tokens = 0;                  // left in this gateway's slice; negative: debt
 
   // Synchronization with the shared counter.
-  TimePoint last_sync_at = 0;
-  TimePoint last_total_at = 0;         // when a usable total last came; 0: never
-  int syncs_in_flight = 0;             // increments without a reply so far
-  std::int64_t epoch = 0;              // of the counter name in use
-  std::int64_t distrusted_epoch = -1;  // this epoch and those before it began before a wall clock step
-  TimePoint total_covers_since = 0;    // demand before this instant is not in the total
-  double prior_remote_rate = 0;        // the remote demand rate at that instant
-  double reported_units = 0;           // this gateway's own part of the total; decaying
-  std::vector<std::string> requests_awaiting_total;  // ids of requests queued until the first total
+  TimePoint last_increment_at = 0;
+  TimePoint last_total_at = 0;                       // when the last usable total arrived; 0: never
+  int increments_in_flight = 0;                      // increments without a reply yet
+  std::int64_t epoch = 0;                            // of the counter name in use
+  std::int64_t last_epoch_before_step = -1;          // in use when the wall clock was last stepped; -1: never
+  TimePoint total_covers_since = 0;                  // the total does not include demand before this time
+  double prior_remote_rate = 0;                      // the remote demand rate at that time
+  double reported_units = 0;                         // this gateway's own share of the total; decaying
+  std::vector<std::string> requests_awaiting_total;  // IDs of requests that wait for a total
 
-  // The hard rate limit: this gateway's even part of its bucket.
+  // The hard rate limit: this gateway's equal share of the bucket.
   double hard_limit_tokens = 0;
   TimePoint hard_limit_updated_at = 0;
 
@@ -52,8 +52,8 @@
   int attempts_in_flight = 0;    // of this process
   int predecessor_attempts = 0;  // still in flight from the process that this one replaced
 
-  // The values of a hot restart. Their order and number may not change: the values are stored without names,
-  // so the successor, possibly of another build, assigns them by position alone.
+  // Visits the values that a hot restart passes on. Their order and number must not change: the values are
+  // stored without names, so the successor, possibly of another build, assigns them by position alone.
   template <typename Visitor>
   void visit_fields(Visitor visit) {
     visit(gateway_set_size);
@@ -67,7 +67,7 @@
     visit(tokens);
     visit(unreported_units);
     visit(unreported_requests);
-    visit(last_sync_at);
+    visit(last_increment_at);
     visit(last_total_at);
     visit(epoch);
     visit(total_covers_since);
@@ -79,11 +79,11 @@
   }
 };
 
-// The quota rate of a plan's customers, in units a second over all gateways. A plan without a rate gets one
-// from its concurrency cap; 0 if it has neither.
+// Returns the quota rate of each of the plan's customers, in units per second over all gateways. For a plan
+// without a rate it is derived from the concurrency cap; 0 if the plan has neither.
 double quota_rate_of(const PlanSettings& plan);
 
-// The most units that the customer can have saved up over all gateways.
+// Returns the maximum number of units that the customer can accumulate over all gateways.
 double quota_burst(const CustomerQuota& customer);
 
 }  // namespace quota_gateway::decision
--- a/src/decision/quota/demand_estimator.cpp
+++ b/src/decision/quota/demand_estimator.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr double kMinTimeConstant = 1;  // s
-constexpr double kMaxTimeConstant = 5;  // s; also for a large burst, so that a change of demand shows soon
-constexpr double kMinQuotaRate = 1e-9;  // units/s; keeps the division defined without a quota
+constexpr double kMaxTimeConstant = 5;  // s; also under a large burst, a change of demand shows soon
+constexpr double kMinQuotaRate = 1e-9;  // units/s; avoids a division by zero without a quota
 
 }  // namespace
 
--- a/src/decision/quota/demand_estimator.hpp
+++ b/src/decision/quota/demand_estimator.hpp
@@ -5,18 +5,18 @@
 
 namespace quota_gateway::decision {
 
-// The time, in seconds, after which 1/e of a demand is left in the mean. It grows with the burst relative to
-// the rate: a quota of a few units a second sees either nothing or its whole burst within one second, and a
-// shorter mean would reject customers that are inside their quota.
+// Returns the time constant of the mean in seconds, after which 1/e of a demand is left. It grows with the
+// ratio of burst to rate: under a quota of a few units per second, one second sees either nothing or the
+// whole burst, and a shorter mean would reject customers that are within their quota.
 double demand_time_constant(const CustomerQuota& customer);
 
-// The part of a demand that is left in the mean after so many seconds.
+// Returns the fraction of a demand that is left in the mean after `seconds`.
 double demand_decay(const CustomerQuota& customer, double seconds);
 
-// Lets all decaying sums of the customer age by so many seconds.
+// Decays the customer's local demand rate, unreported units and reported units by `seconds`.
 void decay_demand(CustomerQuota& customer, double seconds);
 
-// Counts the units of a request, whether it is admitted or not.
+// Adds a request's units to the demand, whether the request is admitted or not.
 void add_demand(CustomerQuota& customer, double units);
 
 }  // namespace quota_gateway::decision
--- a/src/decision/quota/quota_slices.cpp
+++ b/src/decision/quota/quota_slices.cpp
@@ -1,4 +1,4 @@
-// Admission by quota slices: the customers, their requests and their hot restart values.
+// Quota admission: customers, requests, replies of the shared counter and hot restart.
 #include "decision/quota/quota_slices.hpp"
 
 #include <algorithm>
@@ -14,13 +14,13 @@
 
 constexpr Duration kIdleCustomerTtl = 64'000'000;  // us; longer than the counter keeps the customer's name
 
-// A slice whose burst holds fewer of the largest requests than this is admitted by chance.
+// A slice whose burst is smaller than this many requests of the maximum size uses probabilistic admission.
 constexpr double kMinRequestsInBurst = 2;
 
-constexpr double kTokenTolerance = 1e-9;  // units; for rounding errors
-constexpr double kMinSliceRate = 1e-6;    // units/s; keeps a waiting time finite
+constexpr double kTokenTolerance = 1e-9;  // units; allows for rounding errors
+constexpr double kMinSliceRate = 1e-6;    // units/s; keeps the waiting time finite
 
-// Longest advised delay, as a part of the latency objective.
+// Maximum Retry-After delay, as a fraction of the latency objective.
 constexpr double kMaxRetryAfterFraction = 0.33;
 
 }  // namespace
@@ -32,7 +32,7 @@
   CustomerQuota& customer = customers_[request.customer];
   if (started_at_ == 0) started_at_ = now - settings_.tick;
   update_gateway_set(request, customer);
-  if (customer.plan != &plan) start_plan(now, request.customer, plan, customer);
+  if (customer.plan != &plan) apply_plan(now, request.customer, plan, customer);
   customer.last_request_at = now;
   return customer;
 }
@@ -51,7 +51,7 @@
   customer.gateway_set_position = (settings_.gateway_index - first_index + gateway_count) % gateway_count;
 }
 
-void QuotaSlices::start_plan(TimePoint now, const std::string& customer_id, const PlanSettings& plan,
+void QuotaSlices::apply_plan(TimePoint now, const std::string& customer_id, const PlanSettings& plan,
                              CustomerQuota& customer) const {
   customer.plan = &plan;
   customer.id_hash = hash_text(customer_id);
@@ -71,9 +71,10 @@
 
 void QuotaSlices::advance(TimePoint now, CustomerQuota& customer) { advance_slice(now, customer); }
 
-// Where a slice earns less than a request in the time that the burst lasts, its bucket never holds enough for
-// one, and a customer that is spread over many gateways would be rejected at each. There each request is
-// admitted with the probability that the slice has of the local demand.
+// If a slice earns less than a request in the time that the burst lasts, its bucket never holds enough tokens
+// for one, and a customer whose requests are spread over many gateways would be rejected at each. With such a
+// slice, each request is admitted with a probability equal to the ratio of the slice's rate to the local
+// demand.
 bool QuotaSlices::uses_probabilistic_admission(const CustomerQuota& customer) const {
   if (customer.gateway_set_size < kManyGateways || customer.last_total_at <= 0) return false;
   return slice_burst(customer) < kMinRequestsInBurst * settings_.max_request_units;
@@ -122,7 +123,7 @@
     const auto current = next++;
     auto& [customer_id, customer] = *current;
     advance(now, customer);
-    const bool is_in_use = customer.attempts_in_flight != 0 || customer.syncs_in_flight != 0;
+    const bool is_in_use = customer.attempts_in_flight != 0 || customer.increments_in_flight != 0;
     if (!is_in_use && now - customer.last_request_at > kIdleCustomerTtl) {
       customers_.erase(current);
     } else {
@@ -134,7 +135,7 @@
 
 void QuotaSlices::set_wall_offset(TimePoint now, Duration offset) {
   if (!counter_sync_.set_wall_offset(now, offset)) return;
-  for (auto& [customer_id, customer] : customers_) customer.distrusted_epoch = customer.epoch;
+  for (auto& [customer_id, customer] : customers_) customer.last_epoch_before_step = customer.epoch;
 }
 
 // ---- Hot restart ----------------------------------------------------------------------------------------
@@ -159,7 +160,7 @@
   for (const auto& [customer_id, customer] : customers_) {
     CustomerQuota saved = customer;
     saved.predecessor_attempts += customer.attempts_in_flight;
-    // An increment without a reply has most likely been added.
+    // Increments without a reply have most likely been added.
     saved.reported_units += counter_sync_.units_in_flight(customer_id);
     state.customers[customer_id] = {customer.plan->name, serialize_fields(saved)};
   }
--- a/src/decision/quota/quota_slices.hpp
+++ b/src/decision/quota/quota_slices.hpp
@@ -1,6 +1,6 @@
-// Quota admission. Each gateway admits a slice of a customer's quota, by its share of the customer's demand,
-// which all gateways sum up through the shared counter. This file is the entry point to the folder; it also
-// offers the hard rate limit and the concurrency cap.
+// Quota admission. Each gateway admits a slice of a customer's quota, according to its share of the
+// customer's demand, which all gateways sum up through the shared counter. This is the main header of the
+// folder; it also includes the hard rate limit and the concurrency cap.
 #pragma once
 
 #include <cstdint>
@@ -28,61 +28,65 @@
   QuotaSlices(const Settings& settings, std::uint64_t seed)
       : settings_(settings), random_(seed), counter_sync_(settings) {}
 
-  // The customer of a request, created if it is new, with `plan` and the request's gateway set applied.
+  // Returns the customer of a request, created if it is new, with `plan` and the request's gateway set
+  // applied.
   CustomerQuota& find_or_create(TimePoint now, const RequestArrived& request, const PlanSettings& plan);
 
-  // The customer, or null if there is no state of it.
+  // Returns the customer, or null if there is no state for it.
   CustomerQuota* find(const std::string& customer_id);
 
-  // Counts a request's units as demand, whether it is admitted or not.
+  // Adds a request's units to the demand, whether the request is admitted or not.
   void record_demand(TimePoint now, CustomerQuota& customer, double units);
 
-  // Brings the customer's demand and tokens up to `now`.
+  // Decays the customer's demand and refills its tokens up to `now`.
   void advance(TimePoint now, CustomerQuota& customer);
 
-  // Whether a request of so many units is inside the slice. Takes no tokens. A request that is larger than
-  // the slice's burst is inside while the bucket is full.
+  // Returns whether the slice can admit a request of `units`; takes no tokens. A request that is larger than
+  // the slice's burst can be admitted while the bucket is full.
   bool has_tokens(const CustomerQuota& customer, double units);
 
-  // Takes a request's units from the slice; negative units are given back.
+  // Takes a request's units from the slice; negative units are returned to it.
   void consume(CustomerQuota& customer, double units);
 
-  // Seconds until the slice has refilled by what a request of so many units lacks.
+  // Returns the seconds until the slice has refilled enough for a request of `units`.
   [[nodiscard]] double time_until_available(const CustomerQuota& customer, double units) const;
 
-  // The delay to advise in a rejection after which the request would be admitted in so many seconds. It is
-  // kept to a part of the latency objective, since a retry that comes later could not meet that any more.
+  // Returns the Retry-After delay for a rejected request that could be admitted in `seconds`. The delay is at
+  // most a fraction of the latency objective, because a later retry could no longer meet the objective.
   [[nodiscard]] Duration retry_after(double seconds, Duration latency_objective) const;
 
-  // Sends the customer's demand to the shared counter if that is due. Returns whether the customer's first
-  // total is in flight and worth waiting for.
+  // Sends the customer's demand to the shared counter if that is due. Returns whether a request should wait
+  // for the reply; see CounterSync::sync_if_due.
   bool sync_if_due(TimePoint now, const std::string& customer_id, CustomerQuota& customer,
                    std::vector<Action>& actions);
 
-  // Processes a reply of the shared counter. Returns the customer it is about, or null if there is none.
+  // Processes a reply of the shared counter. Returns the customer that it belongs to, or null if there is
+  // none.
   CustomerQuota* on_counter_reply(TimePoint now, const CounterReply& reply);
 
-  // To be called once a period: sends lingering demand to the counter and drops idle customers.
+  // Call once per period: sends demand that is still unreported to the counter and drops idle customers.
   void on_period(TimePoint now, std::vector<Action>& actions);
 
-  // The wall clock, by which gateways agree on counter names, is `offset` ahead of the event clock.
+  // Sets how far the wall clock, by which gateways agree on counter names, is ahead of the event clock.
   void set_wall_offset(TimePoint now, Duration offset);
 
-  // Attempts in flight by customer, those of the predecessor process included.
+  // Returns the attempts in flight by customer, including those of the predecessor.
   [[nodiscard]] std::map<std::string, int> attempts_in_flight() const;
 
-  // Sets the attempts that the predecessor process still has in flight, by customer.
+  // Sets the attempts that the predecessor still has in flight, by customer.
   void set_predecessor_attempts(const std::map<std::string, int>& attempts);
 
-  // Adds all customers to the state for a hot restart.
+  // Adds all customers to the state that a hot restart passes on.
   void save_state(HotRestartState& state);
 
-  // Restores a customer from the state of a hot restart. Ignores values that were written by another build.
+  // Restores a customer from the state of a hot restart. Ignores a list of values of another length, which
+  // was written by another build.
   void restore_customer(const std::string& customer_id, const PlanSettings& plan,
                         const HotRestartState::Values& values);
 
-  // The values of a hot restart beside the customers. Their order and number may not change: the values are
-  // stored without names, so the successor, possibly of another build, assigns them by position alone.
+  // Visits the values that a hot restart passes on in addition to the customers. Their order and number must
+  // not change: the values are stored without names, so the successor, possibly of another build, assigns
+  // them by position alone.
   template <typename Visitor>
   void visit_fields(Visitor visit) {
     CounterPacer::State& pacer = counter_sync_.pacer().state();
@@ -97,15 +101,15 @@
 
  private:
   void update_gateway_set(const RequestArrived& request, CustomerQuota& customer) const;
-  void start_plan(TimePoint now, const std::string& customer_id, const PlanSettings& plan,
+  void apply_plan(TimePoint now, const std::string& customer_id, const PlanSettings& plan,
                   CustomerQuota& customer) const;
   [[nodiscard]] bool uses_probabilistic_admission(const CustomerQuota& customer) const;
 
   const Settings& settings_;
   Random random_;
   CounterSync counter_sync_;
-  TimePoint started_at_ = 0;  // of this process or the first of its predecessors; 0: no request so far
-  std::map<std::string, CustomerQuota> customers_;  // by id; the order determines that of the actions
+  TimePoint started_at_ = 0;  // start of this process or its first predecessor; 0: no request yet
+  std::map<std::string, CustomerQuota> customers_;  // by ID; the actions follow this order
 };
 
 }  // namespace quota_gateway::decision
--- a/src/decision/quota/rate_limiter.cpp
+++ b/src/decision/quota/rate_limiter.cpp
@@ -1,4 +1,4 @@
-// The hard rate limit: a token bucket by customer and gateway.
+// The hard rate limit: a token bucket per customer and gateway.
 #include "decision/quota/rate_limiter.hpp"
 
 #include <algorithm>
--- a/src/decision/quota/slice_bucket.cpp
+++ b/src/decision/quota/slice_bucket.cpp
@@ -1,4 +1,4 @@
-// The token bucket of one customer's slice.
+// The token bucket of a customer's slice.
 #include "decision/quota/slice_bucket.hpp"
 
 #include <algorithm>
@@ -10,12 +10,13 @@
 
 namespace {
 
-constexpr double kMinRate = 1e-9;  // units/s; keeps divisions defined without quota or demand
+constexpr double kMinRate = 1e-9;  // units/s; avoids a division by zero without a quota or demand
 
-// A customer whose remote demand is at most this part of its quota is assumed to have its whole burst left.
+// A customer whose remote demand is at most this fraction of its quota is assumed to have its whole burst
+// left.
 constexpr double kFullBurstUtilization = 0.5;
 
-// The burst of a slice whose rate is known.
+// Returns the burst of a slice with the given rate, in units.
 double burst_at_rate(const CustomerQuota& customer, double rate) {
   return quota_burst(customer) * rate / std::max(customer.quota_rate, kMinRate);
 }
@@ -43,8 +44,8 @@
   const double rate = slice_rate(customer);
   const double slice_refill = rate * seconds;
   customer.tokens = std::min(burst_at_rate(customer, rate), customer.tokens + slice_refill);
-  // The fleet's tokens refill by what the other gateways leave of the quota. A debt shrinks by at least this
-  // gateway's slice.
+  // The fleet tokens refill by the quota that the other gateways leave unused. A debt shrinks by at least the
+  // refill of this gateway's slice.
   const double reduced_debt = std::min(0.0, customer.estimated_fleet_tokens + slice_refill);
   const double fleet_refill = (customer.quota_rate - customer.remote_demand_rate) * seconds;
   const double refilled_tokens = std::max(reduced_debt, customer.estimated_fleet_tokens + fleet_refill);
--- a/src/decision/quota/unreported_fraction.cpp
+++ b/src/decision/quota/unreported_fraction.cpp
@@ -1,4 +1,4 @@
-// The part of the demand that has not been reported to the shared counter.
+// The fraction of the demand that is not yet reported to the shared counter.
 #include "decision/quota/unreported_fraction.hpp"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double kSmoothing = 0.3;     // weight of the last period
-constexpr double kMaxFraction = 0.75;  // a larger estimate would multiply the remote demand without bound
+constexpr double kSmoothingWeight = 0.3;  // weight of the latest period
+constexpr double kMaxFraction = 0.75;     // bounds the factor by which the remote demand is scaled up
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   for (const auto& [plan, sums] : period_sums_) {
     if (sums.demand_units <= 0) continue;
     double& fraction = fractions_[plan];
-    fraction += kSmoothing * (sums.unreported_units / sums.demand_units - fraction);
+    fraction += kSmoothingWeight * (sums.unreported_units / sums.demand_units - fraction);
   }
   period_sums_.clear();
 }
--- a/src/decision/quota/unreported_fraction.hpp
+++ b/src/decision/quota/unreported_fraction.hpp
@@ -1,4 +1,4 @@
-// Estimates which part of the demand at this gateway has not been reported to the shared counter yet.
+// Estimates the fraction of the demand at this gateway that is not yet reported to the shared counter.
 #pragma once
 
 #include <map>
@@ -7,16 +7,16 @@
 
 namespace quota_gateway::decision {
 
-// A smoothed estimate by plan, from samples of all customers, that is updated once a period.
+// A smoothed estimate per plan, updated once per period from samples of all customers.
 class UnreportedFraction {
  public:
-  // Adds one customer's decaying demand, and the part of it that is not reported, to the current period.
+  // Adds a customer's decaying demand, and its unreported units, to the current period.
   void add_sample(const PlanSettings* plan, double demand_units, double unreported_units);
 
   // Ends the period: updates the estimates and drops the samples.
   void finish_period();
 
-  // The estimate for a plan's customers, from 0 to an upper bound below 1.
+  // Returns the estimate for a plan's customers, from 0 to an upper bound below 1.
   [[nodiscard]] double estimate(const PlanSettings* plan) const;
 
  private:
