--- a/tests/decision/concurrency_cap_test.cpp
+++ b/tests/decision/concurrency_cap_test.cpp
@@ -1,4 +1,4 @@
-// The cap on concurrent attempts of a plan.
+// The concurrency cap of a plan.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,25 +9,25 @@
 namespace quota_gateway::testing {
 namespace {
 
-TEST(ConcurrencyCap, ElevenGatewaysDoNotEachAdmitMoreThanTheCap) {
+TEST(ConcurrencyCap, LimitsEachGatewayWhenGatewaysOutnumberCap) {
   Settings settings = basic_settings();
   settings.gateway_count = 11;
   settings.plans[0].rate = settings.plans[0].burst = 0;
   settings.plans[0].max_concurrent_attempts = 2;
   int attempts = 0;
-  for (int g = 0; g < 11; ++g) {
-    settings.gateway_index = g;
+  for (int gateway = 0; gateway < 11; ++gateway) {
+    settings.gateway_index = gateway;
     EngineHarness engine(settings);
-    for (int i = 0; i < 400; ++i) {  // heavy demand at each gateway
+    for (int i = 0; i < 400; ++i) {  // more demand than the cap at each gateway
       RequestArrived request = EngineHarness::request(numbered("x", i), i * kMillisecond);
       request.gateway_set_size = 11;
       attempts += int(actions_of<SendAttempt>(engine.step(i * kMillisecond, {request})).size());
     }
   }
-  EXPECT_LE(attempts, 11 * 2);  // never more than the cap here
+  EXPECT_LE(attempts, 11 * 2);  // at most the cap at each gateway
 }
 
-TEST(ConcurrencyCap, GatewaysTogetherStayUnderTheCap) {
+TEST(ConcurrencyCap, HoldsOverAllGateways) {
   for (const auto& [cap, gateways] : {std::pair{2, 2}, {5, 2}, {7, 3}, {3, 4}}) {
     Settings settings = basic_settings();
     settings.gateway_count = gateways;
@@ -42,12 +42,13 @@
         attempts += int(actions_of<SendAttempt>(engine.step(kMillisecond, {request})).size());
       }
     }
-    EXPECT_LE(attempts, std::max(cap, gateways)) << cap << " over " << gateways;  // but no gateway is starved
+    // Each gateway may have at least one attempt in flight.
+    EXPECT_LE(attempts, std::max(cap, gateways)) << cap << " over " << gateways;
     EXPECT_GE(attempts, cap) << cap << " over " << gateways;
   }
 }
 
-TEST(ConcurrencyCap, RetryAfterCoversTheExpectedEndOfAnAttempt) {
+TEST(ConcurrencyCap, AdvisesRetryAfterExpectedAttemptEnd) {
   Settings settings = basic_settings();
   settings.plans[0].rate = settings.plans[0].burst = 1000;
   settings.plans[0].max_concurrent_attempts = 2;  // one at each of two gateways
@@ -55,8 +56,8 @@
   ASSERT_EQ(actions_of<SendAttempt>(engine.arrive(kMillisecond, "one")).size(), 1u);
   const auto rejections = actions_of<RejectRequest>(engine.arrive(2 * kMillisecond, "two"));
   ASSERT_EQ(rejections.size(), 1u);
-  EXPECT_GE(rejections[0].retry_after,
-            80 * kMillisecond);  // a sixth of the latency objective, before there are responses
+  // Before the first response, the expected latency is a sixth of the latency objective.
+  EXPECT_GE(rejections[0].retry_after, 80 * kMillisecond);
   EXPECT_LE(rejections[0].retry_after, 165 * kMillisecond);
 }
 
--- a/tests/decision/counter_sync_test.cpp
+++ b/tests/decision/counter_sync_test.cpp
@@ -1,4 +1,4 @@
-// When gateways call the shared counter, and what they make of its totals.
+// When gateways call the shared counter, and how they use its totals.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,143 +9,148 @@
 namespace quota_gateway::testing {
 namespace {
 
-TEST(CounterSync, WithoutDemandTheCounterIsNotCalled) {
+TEST(CounterSync, MakesNoCallsWithoutDemand) {
   EngineHarness engine(settings_with_counter());
   engine.run(5 * kSecond);
   EXPECT_TRUE(actions_of<IncrementCounter>(engine.log()).empty());
 }
 
-TEST(CounterSync, TheFirstRequestOfACustomerWaitsForItsTotalButNotLongerThanTheTimeout) {
+TEST(CounterSync, DelaysFirstRequestUntilTotalOrTimeout) {
   EngineHarness engine(settings_with_counter());
-  auto out = engine.arrive(100 * kMillisecond, "r");
-  auto calls = actions_of<IncrementCounter>(out);
+  auto actions = engine.arrive(100 * kMillisecond, "r");
+  auto calls = actions_of<IncrementCounter>(actions);
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_GE(calls[0].amount, 1);
   EXPECT_LE(calls[0].ttl, 60 * kSecond);
-  EXPECT_TRUE(actions_of<SendAttempt>(out).empty());
-  EXPECT_EQ(actions_of<SendAttempt>(engine.run(160 * kMillisecond)).size(), 1u);  // no reply came
+  EXPECT_TRUE(actions_of<SendAttempt>(actions).empty());
+  // No reply has arrived by the timeout.
+  EXPECT_EQ(actions_of<SendAttempt>(engine.run(160 * kMillisecond)).size(), 1u);
 }
 
-TEST(CounterSync, ARequestWaitsForAFreshTotalWhenTheLastOneIsStale) {
+TEST(CounterSync, DelaysRequestWhenLastTotalIsStale) {
   EngineHarness engine(settings_with_counter());
   SharedCounter counter;
   const auto call = actions_of<IncrementCounter>(engine.arrive(kSecond, "first")).at(0);
   EXPECT_EQ(actions_of<SendAttempt>(engine.step(kSecond + kMillisecond, {counter.increment(call)})).size(),
             1u);
-  EXPECT_EQ(actions_of<SendAttempt>(engine.arrive(2 * kSecond, "soon")).size(),
-            1u);  // its total is still fresh
+  // The total is still recent.
+  EXPECT_EQ(actions_of<SendAttempt>(engine.arrive(2 * kSecond, "soon")).size(), 1u);
   engine.run(29 * kSecond);
   EXPECT_TRUE(actions_of<SendAttempt>(engine.arrive(30 * kSecond, "late")).empty());
-  EXPECT_EQ(actions_of<SendAttempt>(engine.run(30 * kSecond + 60 * kMillisecond)).size(),
-            1u);  // no reply came
+  // No reply has arrived by the timeout.
+  EXPECT_EQ(actions_of<SendAttempt>(engine.run(30 * kSecond + 60 * kMillisecond)).size(), 1u);
 }
 
-TEST(CounterSync, ARequestNearItsDeadlineDoesNotWaitForATotal) {
+TEST(CounterSync, RejectsRequestAtDeadlineWithoutWaitingForTotal) {
   EngineHarness engine(settings_with_counter());
   RequestArrived request = EngineHarness::request("r", kSecond);
-  request.deadline = kSecond;  // its gateway was suspended meanwhile
-  auto out = engine.step(kSecond, {request});
-  EXPECT_EQ(actions_of<RejectRequest>(out).size(), 1u);
-  EXPECT_TRUE(actions_of<SendAttempt>(out).empty());
+  request.deadline = kSecond;  // the gateway was suspended until then
+  auto actions = engine.step(kSecond, {request});
+  EXPECT_EQ(actions_of<RejectRequest>(actions).size(), 1u);
+  EXPECT_TRUE(actions_of<SendAttempt>(actions).empty());
 }
 
-TEST(CounterSync, TheLastCounterCallsGoToCustomersWithoutATotal) {
+TEST(CounterSync, ReservesLastCallsForCustomersWithoutTotal) {
   EngineHarness engine(settings_with_counter());
   SharedCounter counter;
-  const auto ask = [&](TimePoint now, const std::string& customer) {
+  const auto send_request = [&](TimePoint now, const std::string& customer) {
     RequestArrived request = EngineHarness::request(numbered(customer + "-", now), now);
     request.customer = customer;
     const auto calls = actions_of<IncrementCounter>(engine.step(now, {request}));
     for (const IncrementCounter& call : calls) engine.step(now, {counter.increment(call)});
     return calls.size();
   };
-  EXPECT_EQ(ask(21 * kSecond / 2, "known"), 1u);
+  EXPECT_EQ(send_request(21 * kSecond / 2, "known"), 1u);
   engine.run(12 * kSecond - 1);
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(ask(12 * kSecond + i, numbered("new", i)), 1u) << i;
-  EXPECT_EQ(ask(12 * kSecond + 3, "known"),
-            0u);  // its total is fresh enough, and one call is left in the budget
-  EXPECT_EQ(ask(12 * kSecond + 4, "new3"), 1u);
-  EXPECT_EQ(ask(12 * kSecond + 5, "new4"), 0u);
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(send_request(12 * kSecond + i, numbered("new", i)), 1u) << i;
+  // The total of this customer is recent, and only one call is left in the bucket.
+  EXPECT_EQ(send_request(12 * kSecond + 3, "known"), 0u);
+  EXPECT_EQ(send_request(12 * kSecond + 4, "new3"), 1u);
+  EXPECT_EQ(send_request(12 * kSecond + 5, "new4"), 0u);
 }
 
-// Each of twenty gateways reports its demand to the counter once a period, so that part of it is in no total
-// yet.
-TEST(CounterSync, UnreportedDemandOfOtherGatewaysIsAllowedFor) {
+// Each of twenty gateways reports its demand to the counter once per period, so no total includes the demand
+// since the last report.
+TEST(CounterSync, AccountsForUnreportedDemandOfOtherGateways) {
   Settings settings = settings_with_counter();
   settings.gateway_count = 20;
-  std::vector<EngineHarness> fleet;
-  for (int g = 0; g < settings.gateway_count; ++g) fleet.emplace_back(settings, up({"a", "b", "c"}), g + 1);
+  std::vector<EngineHarness> engines;
+  for (int gateway = 0; gateway < settings.gateway_count; ++gateway)
+    engines.emplace_back(settings, up({"a", "b", "c"}), gateway + 1);
   SharedCounter counter;
-  int sent = 0;
-  constexpr int kAsked = 80, kFrom = 10, kSeconds = 60;  // requests a second for a quota of ten
-  for (int i = 0; i < kAsked * kSeconds; ++i) {
-    const TimePoint now = 1000 * kSecond + Duration(i) * kSecond / kAsked;
-    EngineHarness& engine = fleet[std::size_t(i * 7 % settings.gateway_count)];
+  int admitted = 0;
+  // The request rate is in requests per second; the quota is ten.
+  constexpr int kRequestRate = 80, kWarmupSeconds = 10, kSeconds = 60;
+  for (int i = 0; i < kRequestRate * kSeconds; ++i) {
+    const TimePoint now = 1000 * kSecond + Duration(i) * kSecond / kRequestRate;
+    EngineHarness& engine = engines[std::size_t(i * 7 % settings.gateway_count)];
     RequestArrived request = EngineHarness::request(numbered("r", i), now);
     request.gateway_set_size = settings.gateway_count;
-    auto todo = engine.run(now);
-    const auto more = engine.step(now, {request});
-    append(todo, more);
-    for (std::size_t k = 0; k < todo.size(); ++k) {
-      if (const auto* call = std::get_if<IncrementCounter>(&todo[k])) {
-        const auto then = engine.step(now, {counter.increment(*call)});
-        append(todo, then);
-      } else if (const auto* a = std::get_if<SendAttempt>(&todo[k])) {
-        if (i >= kAsked * kFrom) ++sent;
-        engine.end(now, SendAttempt(*a), Outcome::kOk);
+    auto actions = engine.run(now);
+    const auto request_actions = engine.step(now, {request});
+    append(actions, request_actions);
+    for (std::size_t k = 0; k < actions.size(); ++k) {
+      if (const auto* call = std::get_if<IncrementCounter>(&actions[k])) {
+        const auto reply_actions = engine.step(now, {counter.increment(*call)});
+        append(actions, reply_actions);
+      } else if (const auto* attempt = std::get_if<SendAttempt>(&actions[k])) {
+        if (i >= kRequestRate * kWarmupSeconds) ++admitted;
+        engine.end(now, SendAttempt(*attempt), Outcome::kOk);
       }
     }
   }
-  EXPECT_NEAR(double(sent) / (kSeconds - kFrom), 10, 1);
+  EXPECT_NEAR(double(admitted) / (kSeconds - kWarmupSeconds), 10, 1);
 }
 
-TEST(CounterSync, GatewaysAgreeOnCounterNames) {
-  EngineHarness one(settings_with_counter(), up({"a"}), 1), two(settings_with_counter(), up({"a"}), 2);
-  auto a = actions_of<IncrementCounter>(one.arrive(kSecond, "r")),
-       b = actions_of<IncrementCounter>(two.arrive(1050 * kMillisecond, "r"));
-  ASSERT_EQ(a.size(), 1u);
-  ASSERT_EQ(b.size(), 1u);
-  EXPECT_EQ(a[0].name, b[0].name);
+TEST(CounterSync, UsesSameCounterNameOnAllGateways) {
+  EngineHarness first(settings_with_counter(), up({"a"}), 1), second(settings_with_counter(), up({"a"}), 2);
+  auto first_calls = actions_of<IncrementCounter>(first.arrive(kSecond, "r")),
+       second_calls = actions_of<IncrementCounter>(second.arrive(1050 * kMillisecond, "r"));
+  ASSERT_EQ(first_calls.size(), 1u);
+  ASSERT_EQ(second_calls.size(), 1u);
+  EXPECT_EQ(first_calls[0].name, second_calls[0].name);
 }
 
-TEST(CounterSync, AnUnresponsiveOrRejectingCounterLeavesTheLastTotals) {
+TEST(CounterSync, KeepsLastTotalWhenCounterFails) {
   for (CounterOutcome outcome : {CounterOutcome::kUnknown, CounterOutcome::kNotAdded})
-    EXPECT_NEAR(run_admission({.other_rate = 36, .failure = outcome, .failure_from_s = 8}).share, 10.0 / 48,
-                0.08);
+    EXPECT_NEAR(run_admission({.remote_rate = 36, .counter_failure = outcome, .failure_start_seconds = 8})
+                    .admitted_fraction,
+                10.0 / 48, 0.08);
 }
 
-TEST(CounterSync, ATotalBelowOurOwnAdditionsIsIgnored) {
-  // A total below our own additions proves that the counter lost some; if used, it would give us the whole
-  // quota.
-  EXPECT_NEAR(run_admission({.other_rate = 36, .counter_forgets = true}).share, 10.0 / 48, 0.08);
+// A total below the gateway's own increments proves that the counter has lost units. If used, it would give
+// the gateway the whole quota.
+TEST(CounterSync, IgnoresTotalBelowOwnIncrements) {
+  EXPECT_NEAR(run_admission({.remote_rate = 36, .counter_loses_units = true}).admitted_fraction, 10.0 / 48,
+              0.08);
 }
 
-TEST(CounterSync, ACustomerWithinItsQuotaIsAdmittedAfterAWallClockStep) {
-  // Amounts of a counter name grow with the wall clock; after a step back they would look many times as
-  // large.
+// The scale of the increments grows with the wall clock. After a step back, earlier increments under the same
+// counter name would appear many times as large.
+TEST(CounterSync, AdmitsCustomerWithinQuotaAfterWallClockStep) {
   for (const Duration step : {-3600 * kSecond, -5 * kSecond, 5 * kSecond, 3600 * kSecond}) {
     Settings settings = settings_with_counter();
     EngineHarness engine(settings);
     SharedCounter counter;
-    int asked = 0, let_in = 0;
+    int requests = 0, admitted = 0;
     for (TimePoint now = kSecond; now < 40 * kSecond; now += 250 * kMillisecond) {
-      std::vector<Action> out = engine.run(now);
+      std::vector<Action> actions = engine.run(now);
       if (now == 10 * kSecond) engine.step(now, {WallClockStepped{step}});
-      const auto arrived = engine.arrive(now, numbered("r", now), 2);
-      append(out, arrived);
-      for (std::size_t i = 0; i < out.size(); ++i) {
-        const auto* const call = std::get_if<IncrementCounter>(&out[i]);
+      const auto request_actions = engine.arrive(now, numbered("r", now), 2);
+      append(actions, request_actions);
+      for (std::size_t i = 0; i < actions.size(); ++i) {
+        const auto* const call = std::get_if<IncrementCounter>(&actions[i]);
         if (!call) continue;
-        const auto next = engine.step(now, {counter.increment(*call)});
-        append(out, next);
+        const auto reply_actions = engine.step(now, {counter.increment(*call)});
+        append(actions, reply_actions);
       }
-      ++asked;
-      for (const SendAttempt& attempt : actions_of<SendAttempt>(out)) {
-        ++let_in;
+      ++requests;
+      for (const SendAttempt& attempt : actions_of<SendAttempt>(actions)) {
+        ++admitted;
         engine.end(now, attempt, Outcome::kOk);
       }
     }
-    EXPECT_GT(let_in, asked * 9 / 10) << step;
+    EXPECT_GT(admitted, requests * 9 / 10) << step;
   }
 }
 
--- a/tests/decision/rate_limiter_test.cpp
+++ b/tests/decision/rate_limiter_test.cpp
@@ -8,16 +8,16 @@
 namespace quota_gateway::testing {
 namespace {
 
-TEST(RateLimiter, AfterARestartOnlyTheQuotaBurstCountsAsSpent) {
+TEST(RateLimiter, AssumesOnlyQuotaBurstIsSpentAfterRestart) {
   Settings settings = basic_settings();
   settings.plans[0].hard_limit_rate = 20;
-  settings.plans[0].hard_limit_burst = 32;  // twelve beyond the quota's burst, six of them our part
+  settings.plans[0].hard_limit_burst = 32;  // 12 more than the quota's burst; this gateway's share is 6
   EngineHarness engine(settings);
   EXPECT_EQ(engine.burst(kMillisecond, 8), 6);
-  EXPECT_EQ(engine.burst(101 * kMillisecond, 3), 1);  // ten units a second is our part
+  EXPECT_EQ(engine.burst(101 * kMillisecond, 3), 1);  // this gateway's share is 10 units per second
 }
 
-TEST(RateLimiter, ACustomerFirstSeenLongAfterTheStartHasItsFullPart) {
+TEST(RateLimiter, AllowsFullShareToCustomerFirstSeenLongAfterStart) {
   Settings settings = basic_settings();
   settings.plans[0].hard_limit_rate = 20;
   settings.plans[0].hard_limit_burst = 24;
@@ -25,26 +25,26 @@
   RequestArrived first = EngineHarness::request("other", kSecond);
   first.customer = "c2";
   engine.step(kSecond, {first});
-  EXPECT_EQ(engine.burst(10 * kSecond, 10), 10);  // of twelve: no predecessor can have spent them since
+  EXPECT_EQ(engine.burst(10 * kSecond, 10), 10);  // of 12: a predecessor's burst would have refilled by now
 }
 
-TEST(RateLimiter, TheLimitHoldsWithoutACounter) {
+TEST(RateLimiter, HoldsWithoutCounter) {
   Settings settings = basic_settings();
   settings.plans[0].rate = 1000;
   settings.plans[0].burst = 1000;
   settings.plans[0].hard_limit_rate = 20;
   settings.plans[0].hard_limit_burst = 40;
   EngineHarness engine(settings);
-  int sent = 0;
-  for (int i = 0; i < 100; ++i) sent += engine.burst(i * 50 * kMillisecond, 4);
-  EXPECT_LE(sent, 10 * 5 + 20);
-  EXPECT_GE(sent, 40);
+  int admitted = 0;
+  for (int i = 0; i < 100; ++i) admitted += engine.burst(i * 50 * kMillisecond, 4);
+  EXPECT_LE(admitted, 10 * 5 + 20);
+  EXPECT_GE(admitted, 40);
 }
 
-TEST(RateLimiter, RetryAfterCoversTheTimeUntilTheLimitAdmitsTheRequest) {
+TEST(RateLimiter, AdvisesRetryAfterTimeUntilRequestIsAllowed) {
   Settings settings = basic_settings();
   settings.plans[0].rate = settings.plans[0].burst = 1000;
-  settings.plans[0].hard_limit_rate = 20;  // ten a second at each of two gateways
+  settings.plans[0].hard_limit_rate = 20;  // 10 units per second at each of two gateways
   settings.plans[0].hard_limit_burst = 4;
   settings.has_counter = false;
   EngineHarness engine(settings);
--- a/tests/support/quota_simulation.hpp
+++ b/tests/support/quota_simulation.hpp
@@ -1,4 +1,4 @@
-// Gateways that share a customer's quota through a counter, played in the test's own time.
+// Simulates gateways that share a customer's quota through a counter. Time is simulated too.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace quota_gateway::testing {
 
-// The counter that gateways share.
+// A shared counter that replies to each increment at once.
 class SharedCounter {
  public:
   CounterReply increment(const IncrementCounter& call) {
@@ -27,33 +27,38 @@
   std::map<std::int64_t, double> totals_;
 };
 
-// Answers the engine's counter calls and serves its attempts at once; returns how many attempts there were.
-inline int settle(TimePoint now, EngineHarness& engine, SharedCounter& counter, std::vector<Action> actions) {
+// Replies to the engine's counter calls and ends its attempts successfully at once. Returns the number of
+// attempts.
+inline int handle_actions(TimePoint now, EngineHarness& engine, SharedCounter& counter,
+                          std::vector<Action> actions) {
   int attempts = 0;
   for (std::size_t i = 0; i < actions.size(); ++i) {
-    std::vector<Action> more;
+    std::vector<Action> next_actions;
     if (const auto* call = std::get_if<IncrementCounter>(&actions[i])) {
-      more = engine.step(now, {counter.increment(*call)});
+      next_actions = engine.step(now, {counter.increment(*call)});
     } else if (const auto* attempt = std::get_if<SendAttempt>(&actions[i])) {
       ++attempts;
-      more = engine.end(now, SendAttempt(*attempt), Outcome::kOk);
+      next_actions = engine.end(now, SendAttempt(*attempt), Outcome::kOk);
     }
-    append(actions, more);
+    append(actions, next_actions);
   }
   return attempts;
 }
 
-// All gateways but the first through which a customer comes, played by one that sees `rate` requests a second
-// and has its counter calls answered at once.
+// Stands for all gateways of a customer except the first, by one engine that receives `rate` requests per
+// second and gets its counter replies at once.
 class OtherGateways {
  public:
   OtherGateways(SharedCounter& counter, const Settings& settings, double rate)
-      : counter_(counter), rate_(rate), engine_(second_of(settings)), set_size_(settings.gateway_count) {}
+      : counter_(counter),
+        rate_(rate),
+        engine_(as_second_gateway(settings)),
+        set_size_(settings.gateway_count) {}
 
   void run(TimePoint now) {
     if (next_at_ == 0) next_at_ = now;
     for (; rate_ > 0 && next_at_ <= now; next_at_ += Duration(double(kSecond) / rate_)) {
-      settle(next_at_, engine_, counter_, engine_.run(next_at_));
+      handle_actions(next_at_, engine_, counter_, engine_.run(next_at_));
       arrive(next_at_);
     }
   }
@@ -61,11 +66,11 @@
   void arrive(TimePoint now) {
     RequestArrived request = EngineHarness::request(numbered("o", ++requests_), now);
     request.gateway_set_size = set_size_;
-    settle(now, engine_, counter_, engine_.step(now, {request}));
+    handle_actions(now, engine_, counter_, engine_.step(now, {request}));
   }
 
  private:
-  static Settings second_of(Settings settings) {
+  static Settings as_second_gateway(Settings settings) {
     settings.gateway_index = 1;
     return settings;
   }
@@ -78,22 +83,23 @@
   TimePoint next_at_ = 0;
 };
 
-// One gateway of two, and a counter to which the other one adds `rate` units a second.
+// A gateway under test, and a counter that it shares with another gateway, which receives `rate` requests per
+// second.
 class TwoGateways {
  public:
   explicit TwoGateways(double rate) : other_(counter_, settings_with_counter(), rate) {}
 
-  // One unit of demand at the other gateway.
+  // Sends a request for one unit to the other gateway.
   void arrive_at_other(TimePoint now) { other_.arrive(now); }
 
-  // Answers calls and serves attempts; returns how many requests were admitted.
+  // Sends a request to the gateway under test. Returns how many requests were admitted.
   int arrive(TimePoint now, const std::string& id) {
-    return settle(now, engine_, counter_, engine_.arrive(now, id));
+    return handle_actions(now, engine_, counter_, engine_.arrive(now, id));
   }
 
   int run(TimePoint now) {
     other_.run(now);
-    return settle(now, engine_, counter_, engine_.run(now));
+    return handle_actions(now, engine_, counter_, engine_.run(now));
   }
 
  private:
@@ -102,49 +108,49 @@
   OtherGateways other_;
 };
 
-// A customer with a quota of ten units a second that comes through several gateways.
+// A customer with a quota of ten units per second whose requests arrive at several gateways.
 struct AdmissionScenario {
-  double other_rate = 0;  // requests a second at the other gateways
-  int gateways = 2;
-  CounterOutcome failure = CounterOutcome::kOk;  // how the counter fails, if it does
-  int failure_from_s = 0;
-  bool counter_forgets = false;
-  double rate = 12;  // requests a second at the gateway under test
+  double remote_rate = 0;  // requests per second at the other gateways
+  int gateway_count = 2;
+  CounterOutcome counter_failure = CounterOutcome::kOk;  // how the counter fails, if it does
+  int failure_start_seconds = 0;
+  bool counter_loses_units = false;
+  double local_rate = 12;  // requests per second at the gateway under test
 };
 
 struct AdmissionResult {
-  double share = 0;  // of the requests of the second half that were admitted
-  std::size_t calls = 0;
+  double admitted_fraction = 0;  // of the requests in the second half of the simulation
+  std::size_t counter_calls = 0;
 };
 
-// Plays 20 s of the scenario.
+// Simulates 20 s of the scenario.
 inline AdmissionResult run_admission(const AdmissionScenario& scenario) {
   Settings settings = settings_with_counter();
-  settings.gateway_count = scenario.gateways;
+  settings.gateway_count = scenario.gateway_count;
   EngineHarness engine(settings);
   SharedCounter counter;
-  OtherGateways others(counter, settings, scenario.other_rate);
+  OtherGateways others(counter, settings, scenario.remote_rate);
   std::size_t calls = 0;
   int admitted = 0;
   int requests = 0;
-  const int steps = int(20 * scenario.rate);
+  const int steps = int(20 * scenario.local_rate);
   for (int i = 0; i < steps; ++i) {
-    const TimePoint now = 1000 * kSecond + Duration(double(i) / scenario.rate * double(kSecond));
+    const TimePoint now = 1000 * kSecond + Duration(double(i) / scenario.local_rate * double(kSecond));
     others.run(now);
     RequestArrived request = EngineHarness::request(numbered("p", i), now);
-    request.gateway_set_size = scenario.gateways;
+    request.gateway_set_size = scenario.gateway_count;
     auto actions = engine.step(now, {request});
     append(actions, engine.run(now + 1));
-    const bool failing =
-        scenario.failure != CounterOutcome::kOk && now >= (1000 + scenario.failure_from_s) * kSecond;
+    const bool failing = scenario.counter_failure != CounterOutcome::kOk &&
+                         now >= (1000 + scenario.failure_start_seconds) * kSecond;
     for (std::size_t k = 0; k < actions.size(); ++k) {
       if (const auto* call = std::get_if<IncrementCounter>(&actions[k])) {
         ++calls;
         CounterReply reply;
         reply.name = call->name;
-        reply.outcome = scenario.failure;
+        reply.outcome = scenario.counter_failure;
         if (!failing) reply = counter.increment(*call);
-        if (scenario.counter_forgets && i > steps / 2) reply.total = 0.5 * call->amount;
+        if (scenario.counter_loses_units && i > steps / 2) reply.total = 0.5 * call->amount;
         append(actions, engine.step(now, {reply}));
       }
       if (const auto* attempt = std::get_if<SendAttempt>(&actions[k])) {
