--- a/src/decision/quota/counter_pacer.hpp
+++ b/src/decision/quota/counter_pacer.hpp
@@ -8,9 +8,9 @@
 namespace quota_gateway::decision {
 
 // A token bucket for calls whose rate follows additive increase, multiplicative decrease (AIMD). An
-// overloaded counter replies to hardly any call, and many gateways fill its queue within a tenth of a second.
-// Each gateway therefore lowers its rate at the first failed or slow reply, and raises it only while the rate
-// limits its calls.
+// overloaded counter replies to hardly any calls, and many gateways fill its queue within a tenth of a
+// second. Each gateway therefore lowers its rate at the first failed or slow reply, and raises it only while
+// the rate limits its calls.
 class CounterPacer {
  public:
   // The state that a hot restart passes to the successor.
