--- a/src/decision/attempt_results.cpp
+++ b/src/decision/attempt_results.cpp
@@ -11,9 +11,9 @@
   const auto duration = double(result.duration);
   const auto objective = double(std::max<Duration>(1, request.request_class->latency_objective));
   return {.outcome = result.outcome,
-          .time_over_expected = duration / request.expected_latency,
-          .time_over_objective = duration / objective * mean_latency / request.expected_latency,
-          .mean_time = mean_latency,
+          .expected_latency_ratio = duration / request.expected_latency,
+          .objective_latency_ratio = duration / objective * mean_latency / request.expected_latency,
+          .class_mean_latency = mean_latency,
           .stalled = attempt.cancelled_as_stalled,
           .load = result.load};
 }
--- a/src/decision/endpoints/attempt_report.hpp
+++ b/src/decision/endpoints/attempt_report.hpp
@@ -8,10 +8,10 @@
 // The result of one attempt, with its latency put in relation to what was expected.
 struct AttemptReport {
   Outcome outcome = Outcome::kOk;
-  double time_over_expected = 0;   // the attempt's latency as a multiple of the latency expected of it
-  double time_over_objective = 0;  // the attempt's latency as a multiple of its class's latency objective
-  double mean_time = 0;            // us; mean latency of the attempt's class
-  bool stalled = false;            // cancelled by this gateway because the endpoint had stopped responding
+  double expected_latency_ratio = 0;   // the attempt's latency as a multiple of the latency expected of it
+  double objective_latency_ratio = 0;  // the attempt's latency as a multiple of its class's latency objective
+  double class_mean_latency = 0;       // us; mean latency of the attempt's class
+  bool stalled = false;  // cancelled by this gateway because the endpoint had stopped responding
   LoadReport load;
 
   [[nodiscard]] bool is_success() const { return outcome == Outcome::kOk; }
--- a/src/decision/endpoints/concurrency_limit.cpp
+++ b/src/decision/endpoints/concurrency_limit.cpp
@@ -69,7 +69,7 @@
 
 void ConcurrencyLimit::add_latency_sample(const AttemptReport& report, double idle_latency) {
   // A few attempts that are lost or far more expensive than others do not show an overloaded fleet.
-  const double sample = std::min(report.time_over_objective, kMaxLatencySampleRatio * idle_latency);
+  const double sample = std::min(report.objective_latency_ratio, kMaxLatencySampleRatio * idle_latency);
   smoothed_latency_ += kLatencySmoothing * (sample - smoothed_latency_);
   ++sample_count_;
   const double slow_smoothing = std::max(kSlowLatencySmoothing, 1.0 / sample_count_);
@@ -91,7 +91,7 @@
   if (smoothed_latency_ <= kCongestionLatencyRatio * idle_latency) {
     const bool limit_binds = spare_capacity_ < kIncreaseMaxSpareFraction * limit();
     if (report.has_load_dependent_latency() && limit_binds) adaptive_limit_ = limit() + kIncreaseStep;
-  } else if (double(now - decreased_at_) > report.mean_time) {
+  } else if (double(now - decreased_at_) > report.class_mean_latency) {
     adaptive_limit_ = limit() * kDecreaseFactor;
     decreased_at_ = now;
   }
--- a/src/decision/endpoints/endpoint_pool.cpp
+++ b/src/decision/endpoints/endpoint_pool.cpp
@@ -115,7 +115,7 @@
   record_latency(now, endpoint, report);
   if (record_load(now, endpoint, report)) fleet_.endpoints_report_load = true;
   const bool is_ejected = outlier_ejection_.on_attempt_ended(now, endpoint, report);
-  on_endpoint_changed(now, endpoint, report.mean_time);
+  on_endpoint_changed(now, endpoint, report.class_mean_latency);
   return is_ejected;
 }
 
--- a/src/decision/endpoints/relative_latency.cpp
+++ b/src/decision/endpoints/relative_latency.cpp
@@ -27,7 +27,7 @@
   const double decay = endpoint.latency_ratio_weight > 0
                            ? exponential_decay(now - endpoint.latency_sampled_at, kLatencyTimeConstant)
                            : 0;
-  const double ratio = is_error ? kErrorLatencyRatio : report.time_over_expected;
+  const double ratio = is_error ? kErrorLatencyRatio : report.expected_latency_ratio;
   endpoint.latency_ratio_sum = endpoint.latency_ratio_sum * decay + ratio;
   endpoint.latency_ratio_weight = endpoint.latency_ratio_weight * decay + 1;
   endpoint.latency_sampled_at = now;
