--- a/src/decision/endpoints/attempt_report.hpp
+++ b/src/decision/endpoints/attempt_report.hpp
@@ -1,17 +1,18 @@
-// What the end of an attempt says about its endpoint.
+// The result of an attempt, from which the endpoint modules update their state.
 #pragma once
 
 #include "quota_gateway/decision_engine.hpp"
 
 namespace quota_gateway::decision {
 
-// The result of one attempt, with its latency put in relation to what was expected.
+// The result of one attempt, with its latency relative to the expected latency and to the objective.
 struct AttemptReport {
   Outcome outcome = Outcome::kOk;
-  double expected_latency_ratio = 0;   // the attempt's latency as a multiple of the latency expected of it
-  double objective_latency_ratio = 0;  // the attempt's latency as a multiple of its class's latency objective
-  double class_mean_latency = 0;       // us; mean latency of the attempt's class
-  bool stalled = false;  // cancelled by this gateway because the endpoint had stopped responding
+  double expected_latency_ratio = 0;  // latency as a multiple of the latency expected of this attempt
+  // Latency, scaled to an average request of its class, as a multiple of the latency objective of the class.
+  double objective_latency_ratio = 0;
+  double class_mean_latency = 0;  // us; mean latency of the request class
+  bool stalled = false;           // cancelled by this gateway because the endpoint had stopped responding
   LoadReport load;
 
   [[nodiscard]] bool is_success() const { return outcome == Outcome::kOk; }
@@ -22,7 +23,8 @@
   // True if the outcome counts towards the ejection of the endpoint.
   [[nodiscard]] bool is_failure() const;
 
-  // True if the latency shows how loaded the endpoints are. Errors do not: they often come at once.
+  // True if the latency depends on the load of the endpoint. Errors are excluded because they are often
+  // returned immediately.
   [[nodiscard]] bool has_load_dependent_latency() const;
 };
 
--- a/src/decision/endpoints/concurrency_limit.cpp
+++ b/src/decision/endpoints/concurrency_limit.cpp
@@ -15,15 +15,15 @@
 // Adaptation of the limit.
 // The fleet counts as overloaded while its latency is above this multiple of the idle latency.
 constexpr double kCongestionLatencyRatio = 1.6;
-constexpr double kMaxLatencySampleRatio = 4;       // idle latencies that one attempt counts for at the most
-constexpr double kDecreaseFactor = 0.85;           // at most once per mean latency
-constexpr double kIncreaseStep = 0.04;             // attempts, per response while the limit binds
-constexpr double kIncreaseMaxSpareFraction = 0.5;  // of the limit; the limit binds if less capacity is spare
+constexpr double kMaxLatencySampleRatio = 4;       // bound of one sample, as a multiple of the idle latency
+constexpr double kDecreaseFactor = 0.85;           // applied at most once per mean latency
+constexpr double kIncreaseStep = 0.04;             // attempts; added per response while the limit binds
+constexpr double kIncreaseMaxSpareFraction = 0.5;  // of the limit; it binds while less capacity is spare
 
 // Smoothing factors per response.
 constexpr double kLatencySmoothing = 1.0 / 30;
-constexpr double kSlowLatencySmoothing = 1.0 / 150;  // so slow that the minimum is no chance result
-constexpr double kIdleLatencyRise = 1.0 / 40'000;    // how fast the estimate may rise
+constexpr double kSlowLatencySmoothing = 1.0 / 150;         // so slow that a minimum is not random variation
+constexpr double kIdleLatencyRiseSmoothing = 1.0 / 40'000;  // limits how fast the estimate rises
 
 }  // namespace
 
@@ -61,32 +61,34 @@
   spare_capacity_at_ = now;
 }
 
-// Until enough responses have come, the latency objective gives an estimate. Without it, one of many gateways
-// would raise its limit for seconds, however late the responses are.
+// Until enough responses have been received, the estimate is a fraction of the latency objective. Without it,
+// one of many gateways would raise its limit for seconds, however slow the responses are.
 double ConcurrencyLimit::estimated_idle_latency() const {
   return idle_latency_ > 0 ? idle_latency_ : kIdleLatencyFraction;
 }
 
 void ConcurrencyLimit::add_latency_sample(const AttemptReport& report, double idle_latency) {
-  // A few attempts that are lost or far more expensive than others do not show an overloaded fleet.
+  // The bound keeps a few attempts that are lost or far more expensive than others from making the fleet
+  // appear overloaded.
   const double sample = std::min(report.objective_latency_ratio, kMaxLatencySampleRatio * idle_latency);
   smoothed_latency_ += kLatencySmoothing * (sample - smoothed_latency_);
   ++sample_count_;
   const double slow_smoothing = std::max(kSlowLatencySmoothing, 1.0 / sample_count_);
   slowly_smoothed_latency_ += slow_smoothing * (sample - slowly_smoothed_latency_);
 
-  // The first responses are the fastest; an idle latency from these alone would be too low.
+  // The first responses are the fastest; an idle latency estimated from these alone would be too low.
   if (sample_count_ <= 1 / kSlowLatencySmoothing) return;
   if (idle_latency_ <= 0) {
     idle_latency_ = slowly_smoothed_latency_;
   } else {
-    const double risen = idle_latency_ + kIdleLatencyRise * (slowly_smoothed_latency_ - idle_latency_);
-    idle_latency_ = std::min(slowly_smoothed_latency_, risen);
+    const double raised_estimate =
+        idle_latency_ + kIdleLatencyRiseSmoothing * (slowly_smoothed_latency_ - idle_latency_);
+    idle_latency_ = std::min(slowly_smoothed_latency_, raised_estimate);
   }
 }
 
 void ConcurrencyLimit::adapt(TimePoint now, const AttemptReport& report, double idle_latency) {
-  // One overloaded endpoint, or one plan's limit there, says nothing about the fleet.
+  // An overload response concerns one endpoint, or the limit of one plan there, and not the fleet.
   if (report.outcome == Outcome::kOverloaded) return;
   if (smoothed_latency_ <= kCongestionLatencyRatio * idle_latency) {
     const bool limit_binds = spare_capacity_ < kIncreaseMaxSpareFraction * limit();
--- a/src/decision/endpoints/endpoint_cost.cpp
+++ b/src/decision/endpoints/endpoint_cost.cpp
@@ -8,7 +8,7 @@
 namespace quota_gateway::decision {
 namespace {
 
-constexpr Duration kIdleConnectionTimeout = 5'000'000;   // us; after this a connection is taken to be closed
+constexpr Duration kIdleConnectionTimeout = 5'000'000;   // us; a connection idle for longer counts as closed
 constexpr Duration kLoadReportTimeConstant = 1'000'000;  // us
 constexpr double kNewConnectionCostFactor = 1.5;
 constexpr double kOtherZoneCostFactor = 1.08;
@@ -50,8 +50,8 @@
   }
   double cost = (endpoint.local_attempts + peer_attempts + 1) / effective_weight;
   if (endpoint.entry.zone != settings.zone) cost *= kOtherZoneCostFactor;
-  // One of many gateways sends each endpoint so little that connections to all of them would time out between
-  // requests, and each request would pay for a handshake.
+  // One of many gateways sends so few requests to each endpoint that connections to all of them would time
+  // out between requests, and each request would pay for a handshake.
   const bool has_idle_connection =
       endpoint.idle_connections > 0 && now - endpoint.connection_idle_at <= kIdleConnectionTimeout;
   if (settings.gateway_count >= kManyGateways && !has_idle_connection) cost *= kNewConnectionCostFactor;
--- a/src/decision/endpoints/endpoint_cost.hpp
+++ b/src/decision/endpoints/endpoint_cost.hpp
@@ -1,5 +1,5 @@
-// The cost of sending an attempt to an endpoint, by which candidates are compared, and the observations of
-// the endpoint's load and connections that it depends on.
+// The cost of sending an attempt to an endpoint, by which candidates are compared. It depends on the observed
+// load and connections of the endpoint, which are recorded here.
 #pragma once
 
 #include "decision/endpoints/endpoint.hpp"
@@ -8,15 +8,16 @@
 
 struct AttemptReport;
 
-// Updates the endpoint's idle connections for an attempt that takes one of them.
+// Updates the endpoint's idle connections for an attempt that uses one of them.
 void record_connection_use(TimePoint now, Endpoint& endpoint);
 
 // Updates the endpoint's idle connections and its reported load from an attempt that has ended. Returns true
-// if the endpoint reported its load. The attempt is no longer counted in `endpoint.local_attempts`.
+// if the endpoint reported its load. `endpoint.local_attempts` must no longer include the attempt.
 bool record_load(TimePoint now, Endpoint& endpoint, const AttemptReport& report);
 
-// Returns the relative time until an attempt would end at the endpoint: the attempts there over the effective
-// weight, with additions for another zone and for a new connection.
+// Returns the relative time that an attempt would take at the endpoint: the attempts in flight there, with
+// this one, divided by the effective weight. The cost is higher for an endpoint in another zone and, with
+// many gateways, for one without an idle connection.
 double attempt_cost(TimePoint now, const Endpoint& endpoint, double effective_weight,
                     const Settings& settings);
 
--- a/src/decision/endpoints/endpoint_picker.cpp
+++ b/src/decision/endpoints/endpoint_picker.cpp
@@ -11,17 +11,17 @@
 namespace quota_gateway::decision {
 namespace {
 
-constexpr int kMinCandidates = 2;  // and in addition this gateway's part of the fleet of endpoints
-// Without load reports many gateways cannot see that they all prefer the same endpoint; more candidates
+constexpr int kMinCandidates = 2;  // in addition to this gateway's share of the endpoints
+// Without load reports, many gateways cannot see that they all prefer the same endpoint; more candidates
 // spread their picks.
 constexpr int kExtraCandidatesWithoutReports = 10;
-// The number of samples is limited to twice the wanted candidates, but not to less than this.
+// A pick draws at most twice as many samples as it wants candidates, or this many if that is more.
 constexpr std::size_t kMinSampleLimit = 64;
 constexpr Duration kFailedPickBackoff = 20'000;  // us
-// One endpoint's share of the concurrency limit, as a multiple of its share of the weights.
+// Maximum share of one endpoint in the concurrency limit, as a multiple of its share of the total weight.
 constexpr double kMaxShareOfLimit = 1.6;
-constexpr double kMinTotalWeight = 1e-9;        // avoids a division by zero
-constexpr double kNegligibleWeightPart = 1e-9;  // of the total; what rounding may leave in the sampler
+constexpr double kMinTotalWeight = 1e-9;            // avoids a division by zero
+constexpr double kNegligibleWeightFraction = 1e-9;  // of the total; rounding may leave it in the sampler
 
 }  // namespace
 
@@ -30,9 +30,10 @@
   endpoints_.push_back(&endpoint);
 }
 
-// The configured weight, lowered by slow start and by a latency above that of the other endpoints.
+// Returns the configured weight, multiplied by the capacity fraction of slow start and divided by the
+// relative latency.
 double EndpointPicker::effective_weight(TimePoint now, const Endpoint& endpoint, double mean_latency) const {
-  return endpoint.configured_weight() * slow_start_.factor(now, endpoint) /
+  return endpoint.configured_weight() * slow_start_.capacity_fraction(now, endpoint) /
          relative_latency(now, endpoint, mean_latency);
 }
 
@@ -57,8 +58,8 @@
                 .diverted = request.restricted};
   std::vector<Candidate> candidates = sample_candidates(search, is_allowed);
   if (candidates.empty()) candidates = scan(search, is_allowed);
-  // The failure of a zone can eject more endpoints than is plausible. They are then used, but only after all
-  // others.
+  // The failure of a zone can eject more endpoints than are plausibly faulty themselves. Ejected endpoints
+  // are then used as a last resort.
   if (candidates.empty() && is_ejected_fraction_exceeded(fleet_)) {
     candidates = scan_ejected(search, is_allowed);
   }
@@ -66,8 +67,8 @@
   return least_cost(request.now, candidates);
 }
 
-// Tells whether the endpoint has capacity for the attempt. Drops its slow start sends that are too old to
-// count.
+// Returns whether the endpoint has capacity for the attempt. Also removes its slow start sends that are too
+// old to count.
 bool EndpointPicker::is_eligible(const Search& search, const Sample& sample) const {
   Endpoint& endpoint = *sample.endpoint;
   if (endpoint.half_open && endpoint.local_attempts > 0) return false;
@@ -82,27 +83,28 @@
   return {.endpoint = sample.endpoint, .cost = cost};
 }
 
-// If each of many gateways picked the best of all endpoints, all would pick the same one. A gateway compares
-// the fewer endpoints, the smaller its part of the whole load is.
+// Returns how many candidates a pick compares. If many gateways each compared all endpoints, they would all
+// pick the same one. The smaller a gateway's share of the total load, the fewer endpoints it compares.
 std::size_t EndpointPicker::candidate_count() const {
-  const int part_of_fleet = fleet_.in_rotation() / settings_.gateway_count;
+  const int share_of_fleet = fleet_.in_rotation() / settings_.gateway_count;
   const bool is_peer_load_unknown = settings_.gateway_count >= kManyGateways && !fleet_.endpoints_report_load;
   const int extra = is_peer_load_unknown ? kExtraCandidatesWithoutReports : 0;
-  const int count = kMinCandidates + part_of_fleet + extra;
+  const int count = kMinCandidates + share_of_fleet + extra;
   return std::size_t(count);
 }
 
-// Takes one endpoint out of the sampler at random, by its effective weight, and returns it; the caller
-// restores its weight. Returns a null endpoint if none is left.
+// Draws an endpoint at random in proportion to the effective weights and sets its weight in the sampler to 0;
+// the caller restores the weight. Returns a null endpoint if none is left.
 EndpointPicker::Sample EndpointPicker::draw_sample(const Search& search) {
   while (true) {
     const double total = sampler_.total();
-    if (total <= kNegligibleWeightPart * search.total_weight) return {};
+    if (total <= kNegligibleWeightFraction * search.total_weight) return {};
     Endpoint& endpoint = *endpoints_[sampler_.find(random_.uniform() * total)];
     const double sampled_weight = sampler_.weight(endpoint.sampler_slot);
     if (sampled_weight <= 0) return {};
     const double weight = effective_weight(search.request.now, endpoint, search.request.mean_latency);
-    // The sampler's weights may be a period old. Rejection sampling corrects one that has fallen since.
+    // The sampler's weights may be up to a period old. Rejection sampling corrects for one that has fallen
+    // since.
     const bool is_rejected = weight < sampled_weight && random_.uniform() * sampled_weight >= weight;
     if (!is_rejected) {
       sampler_.set(endpoint.sampler_slot, 0);
@@ -112,8 +114,8 @@
   }
 }
 
-// Samples without replacement until there are enough candidates. A scan of all endpoints for each attempt
-// would cost more than the requests do in a fleet of thousands.
+// Samples without replacement until there are enough candidates. With thousands of endpoints, scanning all of
+// them for each attempt would cost more than the requests themselves.
 std::vector<EndpointPicker::Candidate> EndpointPicker::sample_candidates(Search& search,
                                                                          const EndpointFilter& is_allowed) {
   const std::size_t wanted = candidate_count();
@@ -126,9 +128,9 @@
     const Sample sample = draw_sample(search);
     if (sample.endpoint == nullptr) break;
     samples.push_back(sample);
-    // Attempts that sample an endpoint in slow start first arrive at a rate that follows its weight, so they
-    // are not diverted to it; all others are.
-    if (samples.size() == 1 && slow_start_.factor(search.request.now, *sample.endpoint) >= 1) {
+    // A fully started first sample marks the attempt as diverted. A first sample in slow start does not,
+    // because such attempts arrive at a rate that follows the weight of that endpoint.
+    if (samples.size() == 1 && slow_start_.capacity_fraction(search.request.now, *sample.endpoint) >= 1) {
       search.diverted = true;
     }
     if (!is_allowed(*sample.endpoint) || !is_eligible(search, sample)) continue;
@@ -138,9 +140,9 @@
   return candidates;
 }
 
-// Looks at all endpoints in use, for an attempt that few of them may get. Takes candidates at random by
-// weight: exponentially distributed keys, with the weights as rates, sort the endpoints in the order of a
-// sample without replacement.
+// Examines all endpoints in rotation, for an attempt that few of them may receive. Draws the candidates at
+// random by weight: sorting by exponentially distributed keys, with the weights as rates, puts the endpoints
+// in the order of a weighted sample without replacement.
 std::vector<EndpointPicker::Candidate> EndpointPicker::scan(const Search& search,
                                                             const EndpointFilter& is_allowed) {
   struct Entry {
@@ -183,13 +185,14 @@
   return candidates;
 }
 
-// With many gateways, endpoints in slow start compete only with each other, and the first candidate decides
-// which kind is picked. They cost more than any other endpoint, since hardly a gateway has a connection to
-// them, and would get no requests at all.
+// Returns the candidate with the lowest cost, or null if there is none. With many gateways, endpoints in slow
+// start are compared only with each other, and the first candidate decides which kind is picked. They cost
+// more than any other endpoint, because hardly any gateway has a connection to them, and would otherwise
+// receive no requests.
 Endpoint* EndpointPicker::least_cost(TimePoint now, const std::vector<Candidate>& candidates) const {
   if (candidates.empty()) return nullptr;
   const auto is_in_slow_start = [&](const Candidate& candidate) {
-    return slow_start_.factor(now, *candidate.endpoint) < 1;
+    return slow_start_.capacity_fraction(now, *candidate.endpoint) < 1;
   };
   const bool has_many_gateways = settings_.gateway_count >= kManyGateways;
   const bool prefers_slow_start = is_in_slow_start(candidates.front());
--- a/src/decision/endpoints/endpoint_picker.hpp
+++ b/src/decision/endpoints/endpoint_picker.hpp
@@ -1,4 +1,4 @@
-// Picks the endpoint for an attempt: samples a few candidates by weight and takes the one of least cost.
+// Picks the endpoint for an attempt: samples a few candidates by weight and takes the cheapest of them.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace quota_gateway::decision {
 
-// Says whether an endpoint may get the attempt at all.
+// Returns whether an endpoint may receive the attempt at all.
 using EndpointFilter = std::function<bool(const Endpoint&)>;
 
 // An attempt that needs an endpoint.
@@ -45,23 +45,23 @@
   [[nodiscard]] const std::vector<Endpoint*>& endpoints() const { return endpoints_; }
 
   // Updates the weight of one endpoint after a change of its state. `mean_latency` (us) is that of the
-  // request class at hand, or 0.
+  // request class concerned, or 0 if there is none.
   void update_weight(TimePoint now, const Endpoint& endpoint, double mean_latency);
 
-  // Updates all weights, once a period.
+  // Updates all weights; called once per period.
   void update_all_weights(TimePoint now);
 
-  // Returns the endpoint where the attempt should end soonest, or null if none may get it now.
+  // Returns the endpoint where the attempt is expected to end first, or null if none may receive it now.
   Endpoint* pick(const PickRequest& request, const EndpointFilter& is_allowed);
 
-  // Ends the backoff after a pick without result; called when an endpoint may have capacity again.
+  // Ends the backoff after a failed pick; called when an endpoint may have capacity again.
   void clear_backoff() { backoff_until_ = 0; }
 
  private:
   // The state of one pick.
   struct Search {
     PickRequest request;
-    double total_weight = 0;  // of all endpoints in use
+    double total_weight = 0;  // of all endpoints in rotation
     double concurrency_limit = 0;
     bool diverted = false;  // another endpoint was tried before, or was sampled first
   };
@@ -70,7 +70,7 @@
     Endpoint* endpoint = nullptr;
     double effective_weight = 0;
   };
-  // An endpoint that may get the attempt.
+  // An endpoint that may receive the attempt.
   struct Candidate {
     Endpoint* endpoint = nullptr;
     double cost = 0;
@@ -94,9 +94,9 @@
   const OutlierEjection& outlier_ejection_;
   const ConcurrencyLimit& concurrency_limit_;
   Random random_;
-  std::vector<Endpoint*> endpoints_;  // by slot of the sampler
-  WeightedSampler sampler_;           // effective weights; 0 for endpoints that are not in use
-  TimePoint backoff_until_ = 0;       // no unrestricted pick before; the last one found no endpoint
+  std::vector<Endpoint*> endpoints_;  // indexed by sampler slot
+  WeightedSampler sampler_;           // effective weights; 0 for endpoints that are not in rotation
+  TimePoint backoff_until_ = 0;       // unrestricted picks return null until then; 0: no backoff
 };
 
 }  // namespace quota_gateway::decision
--- a/src/decision/endpoints/endpoint_pool.cpp
+++ b/src/decision/endpoints/endpoint_pool.cpp
@@ -6,7 +6,7 @@
 namespace quota_gateway::decision {
 namespace {
 
-// The initial endpoint list counts as complete after this time from its first part.
+// The initial endpoint list counts as complete, at the latest, this long after the first list update.
 constexpr Duration kInitialListWindow = 10'000'000;  // us
 
 }  // namespace
@@ -67,15 +67,15 @@
   endpoint.admin_changed_at = now;
   if (!event.disabled) {
     endpoint.reset_observations();
-    // An endpoint is usually restarted while it is disabled, and the list may announce that only seconds
-    // after it is enabled again.
+    // An endpoint is usually restarted while it is disabled, and the list may announce the restart only
+    // seconds after the endpoint is enabled again.
     if (!is_restart_announced) endpoint.slow_start_at = now;
   }
   on_endpoint_changed(now, endpoint, 0);
   picker_.clear_backoff();
 }
 
-// Updates what is derived from the state of one endpoint: its weight and the count of available endpoints.
+// Updates the values derived from the state of one endpoint: its weight and the count of available endpoints.
 void EndpointPool::on_endpoint_changed(TimePoint now, Endpoint& endpoint, double mean_latency) {
   picker_.update_weight(now, endpoint, mean_latency);
   const bool is_available = endpoint.is_available();
--- a/src/decision/endpoints/endpoint_pool.hpp
+++ b/src/decision/endpoints/endpoint_pool.hpp
@@ -1,5 +1,5 @@
-// The endpoints as this gateway knows them: it owns their state, applies endpoint lists and operators'
-// decisions to it, and passes each event on to the modules that it concerns.
+// All endpoints known to this gateway. The pool owns their state, applies endpoint lists and operators'
+// changes to it, and passes each event on to the modules concerned.
 #pragma once
 
 #include <cstdint>
@@ -32,13 +32,13 @@
   // Applies an endpoint list, or changes to it.
   void update(TimePoint now, const EndpointListUpdate& update);
 
-  // Disables or enables an endpoint by an operator's decision, whether or not the list names it.
+  // Disables or enables an endpoint as an operator requested, whether or not the list contains it.
   void update(TimePoint now, const AdminStateChanged& event);
 
-  // The wall clock, by which endpoints report their starts, is `offset` ahead of the time of events.
+  // Sets how far (us) the wall clock, by which endpoints report start times, is ahead of the event time.
   void set_wall_offset(Duration offset) { slow_start_.set_wall_offset(offset); }
 
-  // Returns the endpoint where an attempt of `work` (seconds) should end soonest, or null if none has
+  // Returns the endpoint where an attempt of `work` (seconds) is expected to end first, or null if none has
   // capacity. `mean_latency` (us) is that of the request class; `restricted` says that `is_allowed` excludes
   // more than a few endpoints.
   Endpoint* pick(TimePoint now, double work, double mean_latency, bool restricted, const Filter& is_allowed);
@@ -49,13 +49,13 @@
   // Records the end of an attempt. Returns true if the endpoint is ejected because of this attempt.
   bool on_attempt_ended(TimePoint now, Endpoint& endpoint, const AttemptReport& report);
 
-  // Once a period: updates the load of fully started endpoints and the weights for picking.
+  // Called once per period: updates the load of fully started endpoints and the weights for picking.
   void on_period(TimePoint now);
 
-  // The part of the capacity for attempts in flight that is in use, from 0 to 1.
+  // Returns the fraction of the capacity for attempts in flight that is in use, from 0 to 1.
   double utilization(TimePoint now);
 
-  // Counts the endpoints in the list, and those of them that are disabled or ejected.
+  // Returns the number of endpoints in the list, and of those that are disabled or ejected.
   [[nodiscard]] DecisionEngine::EndpointCounts count(TimePoint now) const;
 
   // Adds the state of all endpoints to the state for a hot restart.
@@ -64,7 +64,7 @@
   // Restores one endpoint; values from another build are ignored.
   void restore_endpoint(const std::string& name, const HotRestartState::Values& values);
 
-  // Visits the values of the whole fleet that a hot restart passes on. The order may not change: they are
+  // Visits the values of the whole fleet that a hot restart passes on. The order must not change: they are
   // restored by position.
   template <typename Visitor>
   void visit_fields(Visitor visit) {
@@ -86,7 +86,7 @@
   OutlierEjection outlier_ejection_;
   ConcurrencyLimit concurrency_limit_;
   EndpointPicker picker_;
-  // Endpoints that are named before the initial list is complete ran before this gateway did.
+  // Endpoints listed before the initial list is complete were running before this gateway started.
   bool is_initial_list_complete_ = false;
   TimePoint first_update_at_ = 0;  // 0: none yet
 };
--- a/src/decision/endpoints/relative_latency.cpp
+++ b/src/decision/endpoints/relative_latency.cpp
@@ -9,14 +9,14 @@
 namespace quota_gateway::decision {
 namespace {
 
-// Time constant of the latency samples. Their decay lets a slow endpoint get requests again little by little.
+// Time constant of the latency samples. Their decay gradually gives a slow endpoint requests again.
 constexpr Duration kLatencyTimeConstant = 4'000'000;  // us
 
 // An endpoint without a response for this many mean latencies counts as slower than average.
-constexpr double kUnresponsiveMeans = 3;
+constexpr double kUnresponsiveMeanLatencies = 3;
 
-// The latency ratio that an error counts for, since its request has to be sent again. An endpoint that fails
-// all requests responds fastest, and by its true latency would attract the whole load.
+// The latency ratio recorded for an error, because its request has to be sent again. An endpoint that fails
+// all requests responds fastest, and its actual latency would attract the whole load.
 constexpr double kErrorLatencyRatio = 10;
 
 }  // namespace
@@ -41,8 +41,8 @@
             (endpoint.latency_ratio_weight * decay + kPriorSamples);
   }
   if (endpoint.local_attempts == 0 || mean_latency <= 0) return ratio;
-  return std::max(ratio,
-                  double(now - endpoint.awaiting_response_since) / (kUnresponsiveMeans * mean_latency));
+  return std::max(
+      ratio, double(now - endpoint.awaiting_response_since) / (kUnresponsiveMeanLatencies * mean_latency));
 }
 
 }  // namespace quota_gateway::decision
--- a/src/decision/endpoints/slow_start.hpp
+++ b/src/decision/endpoints/slow_start.hpp
@@ -1,5 +1,5 @@
-// Slow start: an endpoint that has just started serves at reduced capacity and fails for good if it is sent
-// too much. Its share of the requests and a budget for this gateway follow its growing capacity.
+// Slow start: an endpoint that has just started has reduced capacity and fails permanently if it is sent too
+// much. Its share of the requests and this gateway's budget for it grow with its capacity.
 #pragma once
 
 #include <vector>
@@ -8,40 +8,40 @@
 
 namespace quota_gateway::decision {
 
-// The slow start rules of one gateway, and the load of fully started endpoints to compare with.
+// The slow start rules of one gateway, with the load of fully started endpoints that sets the budgets.
 class SlowStart {
  public:
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
-  // The wall clock, by which endpoints report their starts, is `offset` ahead of the time of events.
+  // Sets how far (us) the wall clock, by which endpoints report start times, is ahead of the event time.
   void set_wall_offset(Duration offset) { wall_offset_ = offset; }
 
-  // Starts the slow start of an endpoint whose list entry has a new start time. One that ran before this
-  // gateway is dated by its entry. A start that is announced while this gateway runs is dated now, because
-  // either wall clock may have been stepped since.
+  // Begins the slow start of an endpoint whose list entry has a new start time. If the endpoint was running
+  // before this gateway started, its slow start begins at the listed time. A start that is announced while
+  // this gateway runs counts from now, because either wall clock may have been stepped since.
   void on_endpoint_started(TimePoint now, Endpoint& endpoint, bool ran_before_gateway) const;
 
-  // Returns the least part of its full capacity that the endpoint can have by now, up to 1.
-  [[nodiscard]] double factor(TimePoint now, const Endpoint& endpoint) const {
+  // Returns the minimum fraction of its full capacity that the endpoint has by now, at most 1.
+  [[nodiscard]] double capacity_fraction(TimePoint now, const Endpoint& endpoint) const {
     return endpoint.slow_start_at == kNoSlowStart ? 1 : ramp(now, endpoint);
   }
 
-  // True if the endpoint may get `work` (seconds) now. Sends over any window stay within this gateway's part
-  // of the endpoint's capacity; the load that this gateway sends to a fully started peer tells that part.
-  // `diverted` marks an attempt that comes only because another endpoint could not take it. Drops the sends
-  // of the endpoint that are older than the window.
+  // True if the endpoint may receive `work` (seconds) now. The work sent in any window stays within this
+  // gateway's share of the endpoint's capacity, which is derived from the load that this gateway sends to a
+  // fully started endpoint. `diverted` marks an attempt that is sent here only because another endpoint could
+  // not take it. Removes the sends of the endpoint that are older than the window.
   [[nodiscard]] bool has_budget(TimePoint now, Endpoint& endpoint, double work, bool diverted) const;
 
   // Records work sent to the endpoint, for its budget and for the load of fully started endpoints.
   void on_attempt_sent(TimePoint now, Endpoint& endpoint, double work) const;
 
-  // Once a period: measures the load of fully started endpoints.
+  // Called once per period: measures the load of fully started endpoints.
   void on_period(TimePoint now, const std::vector<Endpoint*>& endpoints);
 
-  // Visits the values that a hot restart passes on; the order may not change.
+  // Visits the values that a hot restart passes on. The order must not change: they are restored by position.
   template <typename Visitor>
   void visit_fields(Visitor visit) {
-    visit(peer_work_rate_);
+    visit(fully_started_work_rate_);
   }
 
  private:
@@ -51,7 +51,8 @@
 
   const Settings& settings_;
   Duration wall_offset_ = 0;
-  double peer_work_rate_ = 0;  // seconds of work a second to a fully started endpoint of weight 1
+  // Seconds of work sent per second to a fully started endpoint of weight 1.
+  double fully_started_work_rate_ = 0;
 };
 
 }  // namespace quota_gateway::decision
--- a/src/decision/endpoints/weighted_sampler.cpp
+++ b/src/decision/endpoints/weighted_sampler.cpp
@@ -7,7 +7,7 @@
 
 std::size_t lowest_set_bit(std::size_t value) { return value & (~value + 1); }
 
-// The largest power of two that is not above `size`; 1 for a size of 0.
+// Returns the largest power of two that is at most `size`, or 1 if `size` is 0.
 std::size_t highest_power_of_two(std::size_t size) {
   std::size_t power = 1;
   while (power * 2 <= size) power *= 2;
@@ -46,7 +46,7 @@
   return sum;
 }
 
-// Descends the tree: each step skips a block of slots whose weights end at or before the point.
+// Descends the tree: each step skips a block of slots whose cumulative weight ends at or before the point.
 std::size_t WeightedSampler::find(double point) const {
   std::size_t slot = 0;
   for (std::size_t step = highest_power_of_two(tree_.size()); step > 0; step /= 2) {
@@ -54,7 +54,7 @@
     slot += step;
     point -= tree_[slot - 1];
   }
-  // Rounding may put the point behind the last slot.
+  // Rounding may put the point past the last slot.
   return slot < tree_.size() ? slot : tree_.size() - 1;
 }
 
--- a/src/decision/endpoints/weighted_sampler.hpp
+++ b/src/decision/endpoints/weighted_sampler.hpp
@@ -22,11 +22,11 @@
   [[nodiscard]] double weight(std::size_t slot) const { return weights_[slot]; }
   [[nodiscard]] double total() const { return prefix_sum(weights_.size()); }
 
-  // Returns the slot whose part of the cumulative weights contains `point`, where 0 <= point < total().
+  // Returns the slot whose interval of the cumulative weights contains `point`, where 0 <= point < total().
   [[nodiscard]] std::size_t find(double point) const;
 
  private:
-  // The sum of the weights of the first `count` slots.
+  // Returns the sum of the weights of the first `count` slots.
   [[nodiscard]] double prefix_sum(std::size_t count) const;
 
   std::vector<double> weights_;
