--- a/tests/decision/endpoint_picker_test.cpp
+++ b/tests/decision/endpoint_picker_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoint gets an attempt.
+// The choice of an endpoint for an attempt.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,7 +11,7 @@
 namespace quota_gateway::testing {
 namespace {
 
-TEST(EndpointPicker, ManyGatewaysWithTheSameLoadReportDoNotAllPickOneEndpoint) {
+TEST(EndpointPicker, SpreadsPicksOfManyGatewaysWithSameLoadReports) {
   Settings settings = basic_settings();
   settings.gateway_count = 300;
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
@@ -27,7 +27,7 @@
       ended.endpoint = sent[0].endpoint;
       ended.duration = kMillisecond;
       ended.request_finished = true;
-      ended.load.in_flight = ended.endpoint == "a" ? 1 : 4;  // a looks idle to every gateway
+      ended.load.in_flight = ended.endpoint == "a" ? 1 : 4;  // "a" looks idle to every gateway
       reported.insert(ended.endpoint);
       engine.step(kSecond + i * kMillisecond, {ended});
     }
@@ -38,7 +38,7 @@
   EXPECT_LT(picked["a"], 45);
 }
 
-TEST(EndpointPicker, OneOfManyGatewaysPrefersEndpointsWithIdleConnections) {
+TEST(EndpointPicker, PrefersIdleConnectionsWithManyGateways) {
   Settings settings = basic_settings();
   settings.gateway_count = 40;
   std::vector<std::string> names;
@@ -52,31 +52,31 @@
       engine.end(now + 20 * kMillisecond, attempt, Outcome::kOk, 0, 20 * kMillisecond);
     }
   }
-  EXPECT_LE(used.size(), 16u);  // of 24; independent draws would reach them all
+  EXPECT_LE(used.size(), 16u);  // of 24; picks that ignore connections would reach all of them
 }
 
-// One of 300 gateways sends eight attempts a second to 160 endpoints. A few sampled candidates seldom include
-// one to which it has had a connection within five seconds.
-TEST(EndpointPicker, OneOfManyGatewaysReusesConnectionsAlsoAmongManyEndpoints) {
+// One of 300 gateways sends eight attempts per second to 160 endpoints. A few sampled candidates seldom
+// include an endpoint to which the gateway has had a connection within the last five seconds.
+TEST(EndpointPicker, ReusesConnectionsWithManyGatewaysAndEndpoints) {
   Settings settings = basic_settings();
   settings.gateway_count = 300;
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
   std::vector<std::string> names;
   for (int i = 0; i < 160; ++i) names.push_back(numbered("s", i));
   EngineHarness engine(settings, up(names));
-  std::map<std::string, Duration> used;
+  std::map<std::string, Duration> last_used_at;
   int attempts = 0, connected = 0;
   for (int i = 0; i < 400; ++i) {
     const TimePoint now = i * 125 * kMillisecond;
     for (const SendAttempt& attempt : actions_of<SendAttempt>(engine.arrive(now, numbered("r", i)))) {
-      const auto last = used.find(attempt.endpoint);
-      if (i >= 80) ++attempts, connected += last != used.end() && now - last->second < 5 * kSecond;
-      used[attempt.endpoint] = now;
+      const auto last = last_used_at.find(attempt.endpoint);
+      if (i >= 80) ++attempts, connected += last != last_used_at.end() && now - last->second < 5 * kSecond;
+      last_used_at[attempt.endpoint] = now;
       engine.end(now + 100 * kMillisecond, attempt, Outcome::kOk, 0, 100 * kMillisecond);
     }
   }
   EXPECT_GT(connected, attempts * 3 / 4);
-  EXPECT_GT(used.size(), 12u);  // and not always the same few
+  EXPECT_GT(last_used_at.size(), 12u);  // not always the same few endpoints
 }
 
 }  // namespace
