--- a/src/decision/endpoints/concurrency_limit.hpp
+++ b/src/decision/endpoints/concurrency_limit.hpp
@@ -1,6 +1,6 @@
 // The adaptive limit on this gateway's attempts in flight. Overloaded endpoints lose throughput, which delays
 // responses further and makes congestion collapse likely. The limit therefore falls when the latency over all
-// endpoints rises above the idle latency, which is that without load (additive increase, multiplicative
+// endpoints rises above the idle latency, the latency without load (additive increase, multiplicative
 // decrease).
 #pragma once
 
--- a/tests/decision/concurrency_limit_test.cpp
+++ b/tests/decision/concurrency_limit_test.cpp
@@ -81,7 +81,7 @@
   settings.gateway_count = 2;
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
   EngineHarness engine(settings, up({"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}));
-  // Small requests take as long as large ones, so latencies average more than the expected latency.
+  // Small requests take as long as large ones, so the ratio of actual to expected latency averages above one.
   TimePoint now = kSecond;
   for (int i = 0; i < 400; ++i, now += 50 * kMillisecond) {
     engine.run(now);
