--- a/src/decision/endpoints/relative_latency.cpp
+++ b/src/decision/endpoints/relative_latency.cpp
@@ -9,14 +9,14 @@
 namespace quota_gateway::decision {
 namespace {
 
-// Time constant of the latency samples. Their decay lets a slow endpoint get requests again little by little.
+// Time constant of the latency samples. Their decay gradually gives a slow endpoint requests again.
 constexpr Duration kLatencyTimeConstant = 4'000'000;  // us
 
 // An endpoint without a response for this many mean latencies counts as slower than average.
-constexpr double kUnresponsiveMeans = 3;
+constexpr double kUnresponsiveMeanLatencies = 3;
 
-// The latency ratio that an error counts for, since its request has to be sent again. An endpoint that fails
-// all requests responds fastest, and by its true latency would attract the whole load.
+// The latency ratio recorded for an error, because its request has to be sent again. An endpoint that fails
+// all requests responds fastest, and its actual latency would attract the whole load.
 constexpr double kErrorLatencyRatio = 10;
 
 }  // namespace
@@ -27,7 +27,7 @@
   const double decay = endpoint.latency_ratio_weight > 0
                            ? exponential_decay(now - endpoint.latency_sampled_at, kLatencyTimeConstant)
                            : 0;
-  const double ratio = is_error ? kErrorLatencyRatio : report.time_over_expected;
+  const double ratio = is_error ? kErrorLatencyRatio : report.expected_latency_ratio;
   endpoint.latency_ratio_sum = endpoint.latency_ratio_sum * decay + ratio;
   endpoint.latency_ratio_weight = endpoint.latency_ratio_weight * decay + 1;
   endpoint.latency_sampled_at = now;
@@ -41,8 +41,8 @@
             (endpoint.latency_ratio_weight * decay + kPriorSamples);
   }
   if (endpoint.local_attempts == 0 || mean_latency <= 0) return ratio;
-  return std::max(ratio,
-                  double(now - endpoint.awaiting_response_since) / (kUnresponsiveMeans * mean_latency));
+  return std::max(
+      ratio, double(now - endpoint.awaiting_response_since) / (kUnresponsiveMeanLatencies * mean_latency));
 }
 
 }  // namespace quota_gateway::decision
