--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -139,9 +139,9 @@
   is_started_ = true;
   if (settings_.subscribe_to_endpoints) context_.emit(SubscribeToEndpoints{});
   // The seed spreads the gateways' periods, so that they do not all call the counter at once.
-  const auto phase = Duration(decision::mix_bits(seed_) % std::uint64_t(decision::kPeriod));
+  const auto phase = Duration(decision::mix_bits(seed_) % std::uint64_t(decision::kMaintenancePeriod));
   next_period_at_ = context_.now() + 1 + phase;
-  context_.emit(SetTimer{next_period_at_, decision::kPeriodTimer});
+  context_.emit(SetTimer{next_period_at_, decision::kMaintenanceTimer});
 }
 
 void DecisionEngine::Impl::on_period() {
@@ -150,8 +150,8 @@
   // Once the state has been passed on, the successor accounts for the use of the slices.
   if (!admission_.is_suspended()) slices_.on_period(context_.now(), context_.actions());
   // A batch that comes late skips periods.
-  next_period_at_ = std::max(next_period_at_ + decision::kPeriod, context_.now());
-  context_.emit(SetTimer{next_period_at_, decision::kPeriodTimer});
+  next_period_at_ = std::max(next_period_at_ + decision::kMaintenancePeriod, context_.now());
+  context_.emit(SetTimer{next_period_at_, decision::kMaintenanceTimer});
 }
 
 void DecisionEngine::Impl::on_event(const EndpointListUpdate& event) {
@@ -181,7 +181,7 @@
 }
 
 void DecisionEngine::Impl::on_event(const TimerFired& event) {
-  if (event.token == decision::kPeriodTimer) {
+  if (event.token == decision::kMaintenanceTimer) {
     on_period();
   } else if (event.token == decision::kResubscribeTimer) {
     context_.emit(SubscribeToEndpoints{});
--- a/src/decision/endpoints/slow_start.cpp
+++ b/src/decision/endpoints/slow_start.cpp
@@ -94,7 +94,7 @@
     endpoint->work_sent = 0;
   }
   if (weight <= 0) return;
-  const double work_rate = work / weight / (kPeriod / kMicrosPerSecond);
+  const double work_rate = work / weight / (kMaintenancePeriod / kMicrosPerSecond);
   peer_work_rate_ += kPeerWorkRateSmoothing * (work_rate - peer_work_rate_);
 }
 
--- a/src/decision/numeric.hpp
+++ b/src/decision/numeric.hpp
@@ -13,7 +13,7 @@
 constexpr double kMicrosPerSecond = 1e6;
 
 // Interval of the periodic work: re-splitting quotas, dropping idle state, updating endpoint speeds.
-constexpr Duration kPeriod = 1'000'000;  // us
+constexpr Duration kMaintenancePeriod = 1'000'000;  // us
 
 // With at least this many gateways (in all, or in a customer's set), each sees little of the whole load.
 constexpr int kManyGateways = 8;
--- a/src/decision/quota/counter_sync.cpp
+++ b/src/decision/quota/counter_sync.cpp
@@ -40,7 +40,7 @@
   if (customer.syncs_in_flight > 0) return false;
   // A customer without a recent total comes first: its remote demand is unknown until a call has been made.
   if (is_known) {
-    if (now - customer.last_sync_at < kPeriod) return false;
+    if (now - customer.last_sync_at < kMaintenancePeriod) return false;
     if (!pacer_.is_deferrable_call_available(customer.unreported_requests)) return false;
   } else if (!pacer_.is_call_available()) {
     return false;
--- a/src/decision/request_state.hpp
+++ b/src/decision/request_state.hpp
@@ -68,7 +68,7 @@
 };
 
 // Tokens of the engine's own timers. Timers of requests have the tokens after these.
-constexpr std::int64_t kPeriodTimer = 0;
+constexpr std::int64_t kMaintenanceTimer = 0;
 constexpr std::int64_t kResubscribeTimer = 1;
 
 // Owns the requests and their timers. References to a request stay valid until it is erased.
