--- a/include/quota_gateway/events.hpp
+++ b/include/quota_gateway/events.hpp
@@ -149,7 +149,9 @@
   using Values = std::vector<double>;
   std::map<std::string, std::pair<std::string, Values>> customers;  // plan name and values, by customer
   std::map<std::string, Values> endpoints;                          // by endpoint name
-  Values fleet;                                                     // of all endpoints together
+  // Values that belong to no single customer or endpoint: the pace of counter calls, the start time, the
+  // concurrency limit, slow start, the latency estimates and the retry budget.
+  Values fleet;
 };
 
 // This process is the successor in a hot restart and continues from the predecessor's state.
