--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -15,12 +15,12 @@
     decide(request);
 }
 
-// Where each of many gateways sees a customer only now and then, none would know a total when it needs one.
-// Therefore the first request waits for it.
+// When a customer's requests are spread over many gateways, each gateway sees the customer so rarely that it
+// would never know a total when it needs one. The first request therefore waits for the total.
 bool Admission::should_await_total(const RequestArrived& event, Request& request) {
   if (is_suspended_) return false;
   const bool total_expected =
-      modules_.slices.sync_if_due(context_.now(), event.customer, *request.customer, context_.actions());
+      dependencies_.slices.sync_if_due(context_.now(), event.customer, *request.customer, context_.actions());
   const Settings& settings = context_.settings();
   return total_expected && event.deadline - context_.now() > settings.counter_timeout + 2 * settings.tick;
 }
@@ -29,18 +29,18 @@
   request.state = RequestState::kAwaitingTotal;
   request.customer->requests_awaiting_total.push_back(request.id);
   const Settings& settings = context_.settings();
-  modules_.requests.schedule(
+  dependencies_.requests.schedule(
       context_.now() + settings.counter_timeout + settings.tick,
       {.request_id = request.id, .purpose = RequestTimer::Purpose::kDecideWithoutTotal});
 }
 
 void Admission::on_counter_reply(const CounterReply& event) {
-  CustomerQuota* customer = modules_.slices.on_counter_reply(context_.now(), event);
+  CustomerQuota* customer = dependencies_.slices.on_counter_reply(context_.now(), event);
   if (customer == nullptr) return;
   std::vector<std::string> waiting;
   waiting.swap(customer->requests_awaiting_total);
   for (const std::string& id : waiting) {
-    Request* request = modules_.requests.find(id);
+    Request* request = dependencies_.requests.find(id);
     if (request != nullptr && request->state == RequestState::kAwaitingTotal) decide(*request);
   }
 }
@@ -52,16 +52,16 @@
 void Admission::decide(Request& request) {
   request.state = RequestState::kActive;
   if (is_suspended_)
-    modules_.completion.reject(request, context_.settings().tick);
+    dependencies_.completion.reject(request, context_.settings().tick);
   else
     admit_or_reject(request);
-  modules_.requests.erase_if_complete(request);
+  dependencies_.requests.erase_if_complete(request);
 }
 
 void Admission::admit_or_reject(Request& request) {
   const LimitCheck limits = check_limits(request);
   const bool excess_allowed = is_excess_allowed(*request.customer->plan);
-  if (limits.hard_limit && (limits.within_quota() || excess_allowed))
+  if (limits.within_hard_limit && (limits.within_quota() || excess_allowed))
     admit(request, limits.within_quota());
   else
     reject(request, limits);
@@ -69,50 +69,51 @@
 
 Admission::LimitCheck Admission::check_limits(Request& request) {
   CustomerQuota& customer = *request.customer;
-  modules_.slices.advance(context_.now(), customer);
-  // All limits are checked each time: a check may draw a random number or refill a bucket.
+  dependencies_.slices.advance(context_.now(), customer);
+  // Every limit is checked each time, because a check may draw a random number or refill a bucket.
   LimitCheck limits;
-  limits.slice = modules_.slices.has_tokens(customer, request.quota_units);
-  limits.concurrency_cap = concurrency_cap_allows(customer);
-  limits.hard_limit = hard_limit_allows(context_.now(), customer, request.units);
+  limits.within_slice = dependencies_.slices.has_tokens(customer, request.quota_units);
+  limits.within_concurrency_cap = concurrency_cap_allows(customer);
+  limits.within_hard_limit = hard_limit_allows(context_.now(), customer, request.units);
   return limits;
 }
 
-// A plan whose excess requests earn more than they cost may use capacity that nobody else needs.
+// A plan whose excess requests earn more than they cost may use spare capacity.
 bool Admission::is_excess_allowed(const PlanSettings& plan) {
-  return plan.excess_weight_fraction > plan.excess_cost_fraction && modules_.dispatcher.has_spare_capacity();
+  return plan.excess_weight_fraction > plan.excess_cost_fraction &&
+         dependencies_.dispatcher.has_spare_capacity();
 }
 
 void Admission::admit(Request& request, bool within_quota) {
   request.is_excess = !within_quota;
-  if (within_quota) modules_.slices.consume(*request.customer, request.quota_units);
-  if (modules_.dispatcher.send(request)) return;
-  // Excess requests are only for capacity that is free at once.
+  if (within_quota) dependencies_.slices.consume(*request.customer, request.quota_units);
+  if (dependencies_.dispatcher.send(request)) return;
+  // Excess requests may only use capacity that is free now, so they are not queued.
   if (within_quota)
-    modules_.queue.enqueue(request);
+    dependencies_.queue.enqueue(request);
   else
-    modules_.completion.give_final_response(request);
+    dependencies_.completion.reject_or_fail(request);
 }
 
 void Admission::reject(Request& request, const LimitCheck& limits) {
   RejectionReason reason = RejectionReason::kSlice;
-  if (!limits.concurrency_cap) reason = RejectionReason::kConcurrencyCap;
-  if (!limits.hard_limit) reason = RejectionReason::kHardLimit;
-  modules_.rejections.count(reason);
-  const Duration retry_after = modules_.slices.retry_after(time_until_admissible(request, limits),
-                                                           request.request_class->latency_objective);
-  modules_.completion.reject(request, retry_after);
+  if (!limits.within_concurrency_cap) reason = RejectionReason::kConcurrencyCap;
+  if (!limits.within_hard_limit) reason = RejectionReason::kHardLimit;
+  dependencies_.rejections.count(reason);
+  const Duration retry_after = dependencies_.slices.retry_after(time_until_admissible(request, limits),
+                                                                request.request_class->latency_objective);
+  dependencies_.completion.reject(request, retry_after);
 }
 
-// Seconds until every limit that is exceeded now has room. With the time of one limit alone, the client would
-// be asked to return before the others have room.
+// Returns the seconds until the request is within every limit that it exceeds now. With the time of one limit
+// alone, the client would be told to retry while it still exceeds the others.
 double Admission::time_until_admissible(const Request& request, const LimitCheck& limits) const {
   const CustomerQuota& customer = *request.customer;
   double wait = 0;
-  if (!limits.hard_limit) wait = std::max(wait, time_until_hard_limit_allows(customer, request.units));
-  if (!limits.concurrency_cap) wait = std::max(wait, request.expected_latency / kMicrosPerSecond);
-  if (!limits.slice)
-    wait = std::max(wait, modules_.slices.time_until_available(customer, request.quota_units));
+  if (!limits.within_hard_limit) wait = std::max(wait, time_until_hard_limit_allows(customer, request.units));
+  if (!limits.within_concurrency_cap) wait = std::max(wait, request.expected_latency / kMicrosPerSecond);
+  if (!limits.within_slice)
+    wait = std::max(wait, dependencies_.slices.time_until_available(customer, request.quota_units));
   return wait;
 }
 
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -1,5 +1,5 @@
-// Admission control: whether a request is forwarded within its customer's quota, forwarded beyond it, or
-// rejected.
+// Admission control: decides whether a request is forwarded within its customer's quota, forwarded beyond it,
+// or rejected.
 #pragma once
 
 #include "decision/admission_queue.hpp"
@@ -13,7 +13,7 @@
 
 namespace quota_gateway::decision {
 
-// The modules that admission works with.
+// The modules that Admission uses.
 struct AdmissionDependencies {
   RequestTable& requests;
   QuotaSlices& slices;
@@ -23,31 +23,31 @@
   RejectionLog& rejections;
 };
 
-// Decides on each request once. A request within the quota that finds no endpoint capacity is queued.
+// Decides once about each request. A request within the quota is queued if no endpoint has capacity.
 class Admission {
  public:
   Admission(DecisionContext& context, const AdmissionDependencies& dependencies)
-      : context_(context), modules_(dependencies) {}
+      : context_(context), dependencies_(dependencies) {}
 
-  // Decides on a new request, at once or when the first counter total of its customer is known.
+  // Decides about a new request: immediately, or once the first counter total of its customer is known.
   void on_request(const RequestArrived& event, Request& request);
-  // Decides on the requests that await the total of the reply.
+  // Decides about the requests that were waiting for the total in this reply.
   void on_counter_reply(const CounterReply& event);
-  // Decides on a request without the total, which has not come in time.
+  // Decides about a request whose total did not arrive in time.
   void on_total_timeout(Request& request);
 
-  // While suspended, all requests are rejected: another process admits from these slices.
+  // While suspended, all requests are rejected, because another process admits requests from these slices.
   void suspend() { is_suspended_ = true; }
   void resume() { is_suspended_ = false; }
   [[nodiscard]] bool is_suspended() const { return is_suspended_; }
 
  private:
-  // Which limits have room for a request.
+  // The limits that a request is within.
   struct LimitCheck {
-    bool slice = false;
-    bool concurrency_cap = false;
-    bool hard_limit = false;
-    [[nodiscard]] bool within_quota() const { return slice && concurrency_cap; }
+    bool within_slice = false;
+    bool within_concurrency_cap = false;
+    bool within_hard_limit = false;
+    [[nodiscard]] bool within_quota() const { return within_slice && within_concurrency_cap; }
   };
 
   bool should_await_total(const RequestArrived& event, Request& request);
@@ -61,7 +61,7 @@
   [[nodiscard]] double time_until_admissible(const Request& request, const LimitCheck& limits) const;
 
   DecisionContext& context_;
-  AdmissionDependencies modules_;
+  AdmissionDependencies dependencies_;
   bool is_suspended_ = false;
 };
 
--- a/src/decision/admission_queue.cpp
+++ b/src/decision/admission_queue.cpp
@@ -6,11 +6,11 @@
 namespace quota_gateway::decision {
 namespace {
 
-constexpr double kMaxWaitFraction = 0.25;  // of the latency objective, from arrival
-constexpr double kMinTimeLeft = 1.5;       // expected latencies that are left before the deadline on expiry
+constexpr double kMaxWaitFraction = 0.25;          // of the latency objective, since arrival
+constexpr double kMinExpectedLatenciesLeft = 1.5;  // from the end of the wait to the request's deadline
 
-TimePoint queue_expiry(const Request& request, Duration tick) {
-  const Duration time_needed = std::max(tick, Duration(kMinTimeLeft * request.expected_latency));
+TimePoint compute_queue_deadline(const Request& request, Duration tick) {
+  const Duration time_needed = std::max(tick, Duration(kMinExpectedLatenciesLeft * request.expected_latency));
   const auto max_wait = Duration(kMaxWaitFraction * double(request.request_class->latency_objective));
   return std::min(request.deadline - time_needed, request.arrived_at + max_wait);
 }
@@ -24,10 +24,11 @@
 
 void AdmissionQueue::enqueue(Request& request) {
   request.state = RequestState::kQueued;
-  const TimePoint expires_at = queue_expiry(request, context_.settings().tick);
-  entries_.push_back({request.id, request.priority_weight, expires_at});
+  const TimePoint queue_deadline = compute_queue_deadline(request, context_.settings().tick);
+  entries_.push_back({request.id, request.priority_weight, queue_deadline});
   log_.write(LogKind::kRequestsQueued, "admission: requests queued: no endpoint has capacity");
-  requests_.schedule(expires_at, {.request_id = request.id, .purpose = RequestTimer::Purpose::kQueueExpiry});
+  requests_.schedule(queue_deadline,
+                     {.request_id = request.id, .purpose = RequestTimer::Purpose::kQueueDeadline});
 }
 
 void AdmissionQueue::dispatch() {
@@ -39,7 +40,7 @@
   for (Entry& entry : entries_) {
     Request* request = requests_.find(entry.request_id);
     if (request == nullptr) continue;
-    if (try_remove(*request, entry.expires_at))
+    if (try_remove(*request, entry.queue_deadline))
       requests_.erase_if_complete(*request);
     else
       still_queued.push_back(std::move(entry));
@@ -47,14 +48,14 @@
   entries_.swap(still_queued);
 }
 
-bool AdmissionQueue::try_remove(Request& request, TimePoint expires_at) {
+bool AdmissionQueue::try_remove(Request& request, TimePoint queue_deadline) {
   if (request.state != RequestState::kQueued) return true;
   if (dispatcher_.send(request)) {
     request.state = RequestState::kActive;
     return true;
   }
-  if (context_.now() < expires_at) return false;
-  completion_.give_final_response(request);
+  if (context_.now() < queue_deadline) return false;
+  completion_.reject_or_fail(request);
   return true;
 }
 
--- a/src/decision/attempt_dispatcher.cpp
+++ b/src/decision/attempt_dispatcher.cpp
@@ -7,10 +7,10 @@
 namespace quota_gateway::decision {
 namespace {
 
-constexpr double kSlowCheckFactor = 7;      // expected latencies until an attempt is checked for slowness
-constexpr double kSpareUtilization = 0.25;  // of the capacity; below it, capacity is to spare
+constexpr double kSlowCheckFactor = 7;      // expected latencies between slowness checks of an attempt
+constexpr double kSpareUtilization = 0.25;  // below it, capacity is spare
 
-// In seconds of an endpoint's time.
+// Returns the expected work in seconds of an endpoint's time.
 double expected_work(const Request& request) { return request.expected_latency / kMicrosPerSecond; }
 
 }  // namespace
--- a/src/decision/attempt_dispatcher.hpp
+++ b/src/decision/attempt_dispatcher.hpp
@@ -1,4 +1,4 @@
-// Sends attempts of requests to endpoints.
+// Sends attempts to endpoints.
 #pragma once
 
 #include "decision/decision_context.hpp"
@@ -10,21 +10,22 @@
 
 namespace quota_gateway::decision {
 
-// Picks the endpoint of each attempt and accounts for the attempt with its customer and endpoint.
+// Picks the endpoint of each attempt and counts the attempt for its customer and its endpoint.
 class AttemptDispatcher {
  public:
   AttemptDispatcher(DecisionContext& context, RequestTable& requests, EndpointPool& endpoints,
                     const LatencyModel& latencies, RetryBudget& retry_budget);
 
-  // Sends the next attempt. False, with nothing sent, if the request has no attempt or time left, no allowed
-  // endpoint has capacity, or its first attempt would pass the hard limit.
+  // Sends the next attempt. Returns false and sends nothing if the request has no attempts or time left, if
+  // no allowed endpoint has capacity, or if its first attempt would exceed the hard limit.
   bool send(Request& request);
-  // Whether endpoint capacity is free for work that is not needed: excess requests and hedged attempts.
+  // Returns whether there is spare endpoint capacity for optional work: excess requests and hedged attempts.
   bool has_spare_capacity();
 
-  // The endpoints have all of a request whose body was pending and begin to work on it.
+  // Handles the end of a pending request body: endpoints have the whole request and start to work on it.
   void on_body_completed(Request& request, TimePoint client_deadline);
-  // Registers an attempt with its endpoint that responded or ended while the body was still pending.
+  // Counts an attempt for its endpoint, as no work, if it responded or ended while the body was still
+  // pending.
   void register_without_work(const Attempt& attempt);
   // Schedules the next check of whether the attempt is slow.
   void schedule_slow_check(const Request& request, int attempt_index);
--- a/src/decision/attempt_events.cpp
+++ b/src/decision/attempt_events.cpp
@@ -7,7 +7,7 @@
 namespace quota_gateway::decision {
 namespace {
 
-// The attempt of this index if it is in flight, or null.
+// Returns the attempt with this index, or null if it is not in flight.
 Attempt* find_in_flight(Request& request, int index) {
   if (index < 0 || index >= int(request.attempts.size())) return nullptr;
   Attempt& attempt = request.attempts[std::size_t(index)];
@@ -42,8 +42,8 @@
     request->body_pending = false;
     dispatcher_.register_without_work(*attempt);
   }
-  // Recorded now, since the client decides how long a large response takes from here on; the endpoint has
-  // done its work.
+  // Recorded now, because the endpoint has done its work; from here on, the client determines how long a
+  // large response takes.
   results_.record(*request, *attempt,
                   {.outcome = Outcome::kOk,
                    .duration = event.duration,
--- a/src/decision/attempt_events.hpp
+++ b/src/decision/attempt_events.hpp
@@ -10,7 +10,7 @@
 
 namespace quota_gateway::decision {
 
-// Events of unknown requests and attempts are ignored: they may be late.
+// Ignores events of unknown requests and attempts, which may arrive late.
 class AttemptEventHandler {
  public:
   AttemptEventHandler(RequestTable& requests, AttemptDispatcher& dispatcher, AttemptResults& results,
--- a/src/decision/attempt_results.cpp
+++ b/src/decision/attempt_results.cpp
@@ -7,7 +7,7 @@
 
 AttemptReport make_report(const Request& request, const Attempt& attempt, const AttemptResult& result,
                           double mean_latency) {
-  // The duration that was reported counts, not the clock: after a pause of the gateway the two differ.
+  // Uses the reported duration rather than the clock: the two differ if the gateway was paused.
   const auto duration = double(result.duration);
   const auto objective = double(std::max<Duration>(1, request.request_class->latency_objective));
   return {.outcome = result.outcome,
--- a/src/decision/attempt_results.hpp
+++ b/src/decision/attempt_results.hpp
@@ -1,4 +1,4 @@
-// What the result of an attempt says about its endpoint, its class and its customer's quota.
+// Applies the results of attempts to the endpoints, the latency estimates and the customers' quotas.
 #pragma once
 
 #include "decision/decision_context.hpp"
@@ -19,7 +19,7 @@
   LoadReport load;
 };
 
-// Records each attempt once: when its response starts, or else when it ends.
+// Records each attempt once: when its response starts or, without a response, when it ends.
 class AttemptResults {
  public:
   AttemptResults(DecisionContext& context, QuotaSlices& slices, EndpointPool& endpoints,
--- a/src/decision/decision_context.hpp
+++ b/src/decision/decision_context.hpp
@@ -1,5 +1,5 @@
-// What all modules of the decision engine share while a batch of events is processed: the settings, the time
-// of the batch and the list of actions.
+// State that all modules of the decision engine share while a batch of events is processed: the settings, the
+// time of the batch and the list of actions.
 #pragma once
 
 #include <utility>
@@ -16,7 +16,7 @@
  public:
   explicit DecisionContext(const Settings& settings) : settings_(settings) {}
 
-  // Until the next call, `now` is the present time and actions are appended to `actions`.
+  // Until the next call, `now` is the current time and actions are appended to `actions`.
   void begin_batch(TimePoint now, std::vector<Action>& actions) {
     now_ = now;
     actions_ = &actions;
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -1,4 +1,4 @@
-// Routes events to the modules of the decision engine, which are in this folder, and owns their state.
+// Owns the modules of the decision engine, which are in this directory, and routes events to them.
 #include "quota_gateway/decision_engine.hpp"
 
 #include <algorithm>
@@ -34,15 +34,15 @@
 namespace quota_gateway {
 namespace {
 
-// Raises settings that are too low to work with.
+// Raises settings that are too low to their minimum.
 Settings normalize(Settings settings) {
   settings.gateway_count = std::max(1, settings.gateway_count);
   settings.max_request_units = std::max(1.0, settings.max_request_units);
   return settings;
 }
 
-// Charges a request that will still be sent to its customer's serialised hard limit.
-void charge_hard_limit(HotRestartState::Values& values, double units) {
+// Deducts `units` from the hard limit tokens in a customer's serialized state.
+void deduct_hard_limit_tokens(HotRestartState::Values& values, double units) {
   decision::CustomerQuota customer;
   decision::deserialize_fields(customer, values);
   customer.hard_limit_tokens -= units;
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-// Owns the modules. Each one refers only to modules that are declared before it.
+// Each module refers only to modules that are declared before it.
 class DecisionEngine::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed);
@@ -61,8 +61,8 @@
   HotRestartState begin_hot_restart();
   void handle(TimePoint now, const std::vector<Event>& events, std::vector<Action>& actions);
 
-  // The values of HotRestartState::fleet. Their order may not change: the state is stored as a plain list of
-  // numbers, and the process that reads it may be another build, which finds each value by its position.
+  // Visits the values of HotRestartState::fleet. Their order must not change: the state is stored as a plain
+  // list of numbers, and another build may read it, which identifies each value by its position.
   template <typename Visitor>
   void visit_fields(Visitor visit) {
     slices_.visit_fields(visit);
@@ -138,7 +138,7 @@
 void DecisionEngine::Impl::start() {
   is_started_ = true;
   if (settings_.subscribe_to_endpoints) context_.emit(SubscribeToEndpoints{});
-  // The seed spreads the gateways' periods, so that they do not all call the counter at once.
+  // The seed offsets the gateways' periods, so that they do not all call the counter at once.
   const auto phase = Duration(decision::mix_bits(seed_) % std::uint64_t(decision::kMaintenancePeriod));
   next_period_at_ = context_.now() + 1 + phase;
   context_.emit(SetTimer{next_period_at_, decision::kMaintenanceTimer});
@@ -147,9 +147,9 @@
 void DecisionEngine::Impl::on_period() {
   endpoints_.on_period(context_.now());
   rejections_.report_if_due();
-  // Once the state has been passed on, the successor accounts for the use of the slices.
+  // After the state has been passed on, the successor accounts for the use of the slices.
   if (!admission_.is_suspended()) slices_.on_period(context_.now(), context_.actions());
-  // A batch that comes late skips periods.
+  // Periods that passed before a late batch are skipped.
   next_period_at_ = std::max(next_period_at_ + decision::kMaintenancePeriod, context_.now());
   context_.emit(SetTimer{next_period_at_, decision::kMaintenanceTimer});
 }
@@ -200,8 +200,8 @@
     case decision::RequestTimer::Purpose::kDecideWithoutTotal:
       admission_.on_total_timeout(*request);
       break;
-    case decision::RequestTimer::Purpose::kQueueExpiry:
-      break;  // the queue is dispatched after every batch
+    case decision::RequestTimer::Purpose::kQueueDeadline:
+      break;  // the queue is dispatched after each batch
   }
 }
 
@@ -233,11 +233,12 @@
   slices_.save_state(state);
   endpoints_.save_state(state);
   state.fleet = decision::serialize_fields(*this);
-  // This process will still send the requests in its queue, so the successor must not use their part of the
-  // hard limit.
+  // This process will still send the requests in its queue, so their units are deducted from the hard limit
+  // tokens that the successor receives.
   for (const decision::Request* request : queue_.unsent_requests())
     for (auto& [name, plan_and_values] : state.customers)
-      if (slices_.find(name) == request->customer) charge_hard_limit(plan_and_values.second, request->units);
+      if (slices_.find(name) == request->customer)
+        deduct_hard_limit_tokens(plan_and_values.second, request->units);
   return state;
 }
 
--- a/src/decision/field_serialization.hpp
+++ b/src/decision/field_serialization.hpp
@@ -1,9 +1,9 @@
 // Converts the state that a hot restart passes on into a flat list of numbers, and back.
 //
-// A type takes part by a member template `visit_fields(visitor)` that calls `visitor` with a reference to
-// each of its numeric fields, always the same fields in the same order. The list has no names and no version:
-// the order of the calls is the format. Only the length is checked, so a type that changes its order without
-// changing its length would read the values of another build into the wrong fields.
+// A type supports this with a member template `visit_fields(visitor)` that calls `visitor` with a reference
+// to each of its numeric fields, always the same fields in the same order. The list has no names and no
+// version: the order of the calls is the format. Only the length is checked: if the order of a type's fields
+// changes but their number does not, the values of another build are read into the wrong fields.
 #pragma once
 
 #include <concepts>
@@ -14,11 +14,11 @@
 
 namespace quota_gateway::decision {
 
-// A field that fits into one number of the list: an integer, a floating-point number or a flag.
+// A field that is stored as one number of the list: an integer, a floating-point number or a flag.
 template <typename T>
 concept SerializableField = std::is_arithmetic_v<T>;
 
-// Accepts each field that can be serialized; tells whether a type offers `visit_fields`.
+// A visitor that accepts any serializable field, to check whether a type has `visit_fields`.
 struct FieldVisitorArchetype {
   template <SerializableField Field>
   void operator()(Field& field) const;
@@ -29,7 +29,7 @@
   object.visit_fields(visitor);
 };
 
-// The values of all fields, in the order of `visit_fields`.
+// Returns the values of all fields, in the order of `visit_fields`.
 template <FieldVisitable T>
 HotRestartState::Values serialize_fields(T& object) {
   HotRestartState::Values values;
@@ -39,7 +39,7 @@
   return values;
 }
 
-// The length of the list that `serialize_fields` returns.
+// Returns the length of the list that `serialize_fields` returns.
 template <FieldVisitable T>
 std::size_t count_fields(T& object) {
   std::size_t count = 0;
@@ -48,7 +48,7 @@
 }
 
 // Sets all fields from a list that `serialize_fields` returned. Returns false and changes nothing if the list
-// has another length, because it was then written by another build.
+// has a different length, which means that another build wrote it.
 template <FieldVisitable T>
 bool deserialize_fields(T& object, const HotRestartState::Values& values) {
   if (values.size() != count_fields(object)) return false;
--- a/src/decision/hash.hpp
+++ b/src/decision/hash.hpp
@@ -14,7 +14,7 @@
   return value ^ (value >> 31);
 }
 
-// FNV-1a, mixed: its upper bits alone vary too little for short texts.
+// FNV-1a followed by `mix_bits`, since the upper bits of FNV-1a alone vary too little for short texts.
 inline std::uint64_t hash_text(std::string_view text) {
   constexpr std::uint64_t kOffsetBasis = 0xcbf29ce484222325ULL;
   constexpr std::uint64_t kPrime = 0x100000001b3ULL;
@@ -24,6 +24,6 @@
 }
 
 // Maps the upper 53 bits of a hash to [0, 1).
-inline double unit_interval(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1p-53; }
+inline double to_unit_interval(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1p-53; }
 
 }  // namespace quota_gateway::decision
--- a/src/decision/latency_model.cpp
+++ b/src/decision/latency_model.cpp
@@ -20,8 +20,8 @@
   const double mean_units = estimate(request_class).mean_units;
   const bool sizes_known = mean_units > 0 && units > 0;
   if (!sizes_known) return mean_latency(request_class);
-  // The ratio is bounded, since a request of next to no expected work would be checked for slowness all the
-  // time.
+  // The ratio is bounded, since a request with almost no expected latency would be checked for slowness
+  // continually.
   const double max_ratio = settings_.max_request_units;
   return mean_latency(request_class) * std::clamp(units / mean_units, 1 / max_ratio, max_ratio);
 }
@@ -33,8 +33,8 @@
 }
 
 void LatencyModel::record_latency(const ClassSettings& request_class, Duration latency) {
-  // The first response alone, often a fast one, would make the following attempts look slow. Therefore the
-  // prior mean counts as several samples.
+  // The first response is often a fast one and, on its own, would make the next attempts look slow. Therefore
+  // the prior mean counts as several samples.
   ClassEstimate& current = estimate(request_class);
   current.samples += 1;
   const double gain = std::max(kSmoothingGain, 1 / (kPriorSamples + current.samples));
--- a/src/decision/latency_model.hpp
+++ b/src/decision/latency_model.hpp
@@ -15,16 +15,17 @@
   LatencyModel(const Settings& settings, const ServiceCatalog& catalog)
       : settings_(settings), catalog_(catalog), estimates_(catalog.class_count()) {}
 
-  // Microseconds; derived from the latency objective until a response has been observed.
+  // Returns the mean latency of the class in microseconds, or its prior until a response has been observed.
   [[nodiscard]] double mean_latency(const ClassSettings& request_class) const;
-  // Microseconds. In proportion to the units where sizes vary within the class.
+  // Returns the expected latency of a request in microseconds: the mean latency of the class, scaled by the
+  // request's units relative to the mean units of the class.
   [[nodiscard]] double expected_latency(const ClassSettings& request_class, double units) const;
 
   void record_units(const ClassSettings& request_class, double units);
-  // The latency of a successful response.
+  // Records the latency of a successful response.
   void record_latency(const ClassSettings& request_class, Duration latency);
 
-  // Part of the serialised state; see DecisionEngine::Impl::visit_fields for why the order is fixed.
+  // Part of the serialized state; see DecisionEngine::Impl::visit_fields for why the order is fixed.
   template <typename Visitor>
   void visit_fields(Visitor visit) {
     for (ClassEstimate& estimate : estimates_) visit(estimate.mean_latency);
--- a/src/decision/random.hpp
+++ b/src/decision/random.hpp
@@ -1,4 +1,4 @@
-// The pseudo-random numbers of the decision engine.
+// Pseudo-random numbers for the decision engine.
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,15 @@
 
 namespace quota_gateway::decision {
 
-// A generator whose sequence depends on the seed alone, so that a recorded run can be repeated exactly.
+// A generator whose sequence depends only on the seed, so that a recorded run can be replayed exactly.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
 
-  // The next number, uniform in [0, 1).
+  // Returns the next number, uniformly distributed in [0, 1).
   double uniform() {
     state_ = mix_bits(state_);
-    return unit_interval(state_);
+    return to_unit_interval(state_);
   }
 
  private:
--- a/src/decision/rate_limited_log.hpp
+++ b/src/decision/rate_limited_log.hpp
@@ -1,4 +1,4 @@
-// Log lines of the decision engine, with a bound on their rate.
+// Rate-limited log lines of the decision engine.
 #pragma once
 
 #include <map>
@@ -9,9 +9,9 @@
 
 namespace quota_gateway::decision {
 
-constexpr Duration kLogInterval = 5'000'000;  // us between two lines of one kind
+constexpr Duration kLogInterval = 5'000'000;  // us; shortest time between two lines of one kind
 
-// Each kind of log line has a rate limit of its own.
+// The kinds of log lines. Each kind has its own rate limit.
 enum class LogKind {
   kSubscriptionFailed,
   kEndpointDisabled,
@@ -25,7 +25,7 @@
  public:
   explicit RateLimitedLog(DecisionContext& context) : context_(context) {}
 
-  // Emits the line unless one of the same kind was emitted within kLogInterval.
+  // Emits the line unless one of the same kind was emitted less than kLogInterval ago.
   void write(LogKind kind, const std::string& text);
 
  private:
--- a/src/decision/rejection_log.hpp
+++ b/src/decision/rejection_log.hpp
@@ -1,4 +1,4 @@
-// Counts of the requests that got no response from an endpoint, by reason.
+// Counts the requests that got no response from an endpoint, by reason.
 #pragma once
 
 #include <map>
@@ -11,18 +11,18 @@
 enum class RejectionReason {
   kSlice,             // beyond this gateway's slice of the quota
   kConcurrencyCap,    // too many attempts of the customer in flight
-  kHardLimit,         // beyond the hard limit, which excess requests must keep too
+  kHardLimit,         // beyond the hard limit, which also applies to excess requests
   kNoCapacity,        // no endpoint had capacity in time
   kAttemptsExhausted  // sent, but no endpoint responded
 };
 
-// Reports the counts since its last report in one log line.
+// Logs the counts since the last report in one line.
 class RejectionLog {
  public:
   explicit RejectionLog(DecisionContext& context) : context_(context) {}
 
   void count(RejectionReason reason) { ++counts_[reason]; }
-  // Writes the line if there is something to report and the last one is old enough.
+  // Writes the line if there are counts to report and the last report is at least kLogInterval old.
   void report_if_due();
 
  private:
--- a/src/decision/request_completion.cpp
+++ b/src/decision/request_completion.cpp
@@ -11,7 +11,7 @@
   finish(request);
 }
 
-void RequestCompletion::give_final_response(Request& request) {
+void RequestCompletion::reject_or_fail(Request& request) {
   if (request.is_finished()) return;
   rejections_.count(request.attempts.empty() ? RejectionReason::kNoCapacity
                                              : RejectionReason::kAttemptsExhausted);
--- a/src/decision/request_completion.hpp
+++ b/src/decision/request_completion.hpp
@@ -1,4 +1,4 @@
-// Final responses that the gateway gives itself, and the end of requests.
+// Completes requests, with a final response from the gateway where no endpoint gives one.
 #pragma once
 
 #include "decision/decision_context.hpp"
@@ -9,7 +9,7 @@
 
 namespace quota_gateway::decision {
 
-// Each request gets exactly one final response: that of an endpoint, or one from here.
+// Each request gets exactly one final response: an endpoint's, or a rejection or failure from this class.
 class RequestCompletion {
  public:
   RequestCompletion(DecisionContext& context, const LatencyModel& latencies, RejectionLog& rejections)
@@ -18,7 +18,7 @@
   // Rejects a request that has not been sent to any endpoint.
   void reject(Request& request, Duration retry_after);
   // Rejects or fails an unfinished request that no endpoint will respond to.
-  void give_final_response(Request& request);
+  void reject_or_fail(Request& request);
   // Marks the request as finished and cancels its other attempts.
   void finish(Request& request);
 
--- a/src/decision/request_factory.hpp
+++ b/src/decision/request_factory.hpp
@@ -1,4 +1,4 @@
-// Creates the state of requests that arrive.
+// Creates the state of arriving requests.
 #pragma once
 
 #include "decision/decision_context.hpp"
@@ -10,7 +10,7 @@
 
 namespace quota_gateway::decision {
 
-// Looks up a request's class, plan and customer, and counts it in the customer's demand.
+// Looks up a request's class, plan and customer, and adds the request to the customer's demand.
 class RequestFactory {
  public:
   RequestFactory(DecisionContext& context, const ServiceCatalog& catalog, QuotaSlices& slices,
--- a/src/decision/request_state.hpp
+++ b/src/decision/request_state.hpp
@@ -1,4 +1,4 @@
-// The requests that the gateway is working on, their attempts and their timers.
+// The requests in progress, their attempts and their timers.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +15,20 @@
 
 namespace quota_gateway::decision {
 
-// One try of a request at one endpoint.
+// One attempt of a request, at one endpoint.
 struct Attempt {
   Endpoint* endpoint = nullptr;
-  TimePoint sent_at = 0;  // when the endpoint could begin; with a pending body, when the body was complete
+  TimePoint sent_at = 0;  // or, if the body was pending, when the body was complete
   bool in_flight = true;
   bool may_have_executed = true;
   bool cancelled_as_stalled = false;  // its endpoint had stopped responding
-  bool result_recorded = false;       // a response that is still being forwarded has been recorded already
+  bool result_recorded = false;       // the response was recorded when it started
 };
 
 enum class RequestState {
-  kAwaitingTotal,  // not decided on before the first counter total of its customer is known
-  kActive,         // being decided on, or in flight
-  kQueued,         // admitted, waits for endpoint capacity
+  kAwaitingTotal,  // waits for the first counter total of its customer
+  kActive,         // in admission, or has attempts in flight
+  kQueued,         // admitted; waits for endpoint capacity
   kFinished        // has its final response; attempts may still be in flight
 };
 
@@ -38,36 +38,36 @@
   const ClassSettings* request_class = nullptr;
   CustomerQuota* customer = nullptr;
   double units = 1;
-  double quota_units = 1;       // charged to the slice: units, or attempt-seconds under a concurrency cap
+  double quota_units = 1;       // charged to the slice: units or, if the plan has no rate, expected seconds
   double expected_latency = 0;  // us
-  double priority_weight = 1;   // by expected work; orders the admission queue
+  double priority_weight = 1;   // per us of expected latency; orders the admission queue
   TimePoint arrived_at = 0;
   TimePoint deadline = 0;  // a later response earns nothing
   RequestState state = RequestState::kActive;
   bool is_excess = false;     // forwarded beyond its customer's quota
-  bool body_pending = false;  // endpoints have no work yet
+  bool body_pending = false;  // incomplete, so endpoints cannot work on it yet
   int attempts_in_flight = 0;
   std::vector<Attempt> attempts;
 
   [[nodiscard]] bool is_finished() const { return state == RequestState::kFinished; }
 };
 
-// The last instant at which a response to a request of this class still earns something.
+// Returns the latest time at which a response to a request of this class still earns any weight.
 TimePoint useful_deadline(const ClassSettings& request_class, TimePoint client_deadline, TimePoint now);
 
-// What is due for a request at a certain time.
+// A timer of one request.
 struct RequestTimer {
   enum class Purpose {
     kCheckSlowAttempt,
     kDecideWithoutTotal,  // the counter has not replied in time
-    kQueueExpiry          // only causes a batch: the admission queue is dispatched at the end of each
+    kQueueDeadline        // only triggers a batch: the admission queue is dispatched after each one
   };
   std::string request_id;
   Purpose purpose = Purpose::kCheckSlowAttempt;
-  int attempt = 0;  // of kCheckSlowAttempt
+  int attempt = 0;  // index; only for kCheckSlowAttempt
 };
 
-// Tokens of the engine's own timers. Timers of requests have the tokens after these.
+// Tokens of the engine's own timers. Request timers have higher tokens.
 constexpr std::int64_t kMaintenanceTimer = 0;
 constexpr std::int64_t kResubscribeTimer = 1;
 
@@ -76,16 +76,16 @@
  public:
   explicit RequestTable(DecisionContext& context) : context_(context) {}
 
-  // Ids are unique among the requests in the table; one that is in it already is not created anew.
+  // Returns the request with this ID, which is created if it is not in the table.
   Request& find_or_create(const std::string& id);
-  // Null if there is no such request.
+  // Returns the request, or null if there is none with this ID.
   [[nodiscard]] Request* find(const std::string& id);
   // Erases a request that has its final response and no attempt in flight.
   void erase_if_complete(const Request& request);
 
-  // Emits the action for a timer that is due at `at`.
+  // Schedules a timer that is due at `at`.
   void schedule(TimePoint at, RequestTimer timer);
-  // Removes the timer of this token and returns it, if there is one.
+  // Removes the timer with this token and returns it; std::nullopt if there is none.
   std::optional<RequestTimer> remove_timer(std::int64_t token);
 
  private:
--- a/src/decision/retry_budget.hpp
+++ b/src/decision/retry_budget.hpp
@@ -1,17 +1,17 @@
-// Bounds retries and hedged attempts to a fraction of the requests, so that they cannot amplify an overload.
+// Limits retries and hedged attempts to a fraction of the requests, so that they cannot amplify an overload.
 #pragma once
 
 namespace quota_gateway::decision {
 
-// A token bucket that is filled by first attempts. Each retry or hedged attempt that may repeat work costs a
-// token.
+// A token bucket that is filled by first attempts. Each retry or hedged attempt that may repeat work consumes
+// one token.
 class RetryBudget {
  public:
   void on_first_attempt();
   [[nodiscard]] bool has_token() const { return tokens_ >= 1; }
   void consume_token() { tokens_ -= 1; }
 
-  // Part of the serialised state; see DecisionEngine::Impl::visit_fields for why the order is fixed.
+  // Part of the serialized state; see DecisionEngine::Impl::visit_fields for why the order is fixed.
   template <typename Visitor>
   void visit_fields(Visitor visit) {
     visit(tokens_);
--- a/src/decision/retry_handler.cpp
+++ b/src/decision/retry_handler.cpp
@@ -11,10 +11,10 @@
       retry_budget_(retry_budget) {}
 
 void RetryHandler::retry_or_complete(Request& request, const Attempt& last_attempt, bool is_replayable) {
-  // `last_attempt` is invalid once a further attempt has been sent.
+  // Sending another attempt invalidates `last_attempt`.
   const bool never_executed = !last_attempt.may_have_executed;
-  // An attempt that was not executed repeats no work, and a stalled one has been paid for on its
-  // cancellation.
+  // The retry of an attempt that was not executed repeats no work, and a stalled attempt consumed its token
+  // when it was cancelled.
   const bool is_free = never_executed || last_attempt.cancelled_as_stalled;
   const bool may_retry = is_replayable && (is_free || retry_budget_.has_token());
   if (may_retry && dispatcher_.send(request)) {
@@ -24,7 +24,7 @@
   if (may_retry && never_executed && has_attempts_left(request))
     queue_.enqueue(request);
   else
-    completion_.give_final_response(request);
+    completion_.reject_or_fail(request);
 }
 
 bool RetryHandler::has_attempts_left(const Request& request) const {
--- a/src/decision/retry_handler.hpp
+++ b/src/decision/retry_handler.hpp
@@ -1,4 +1,4 @@
-// Decides what follows the end of an attempt without a final response.
+// Decides what happens after an attempt has ended without a final response.
 #pragma once
 
 #include "decision/admission_queue.hpp"
@@ -10,14 +10,14 @@
 
 namespace quota_gateway::decision {
 
-// Within the retry budget, and by the rules of retry_policy.
+// Retries requests within the retry budget and the rules of retry_policy.hpp.
 class RetryHandler {
  public:
   RetryHandler(DecisionContext& context, AttemptDispatcher& dispatcher, AdmissionQueue& queue,
                RequestCompletion& completion, RetryBudget& retry_budget);
 
-  // Retries a request whose attempts have all ended, queues it, or gives its final response.
-  // `is_replayable`: the request's body is still buffered.
+  // Retries, queues, rejects or fails a request whose attempts have all ended. `is_replayable` says whether
+  // the request body is still buffered.
   void retry_or_complete(Request& request, const Attempt& last_attempt, bool is_replayable);
 
  private:
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -7,9 +7,9 @@
 
 constexpr Duration kMaxWriteDelay = 150'000;  // us from reading the clock to writing to the socket
 
-// Whether both endpoints recognise the same idempotency key.
-bool share_idempotency_keys(const ClassSettings& request_class, const EndpointEntry& first,
-                            const EndpointEntry& second) {
+// Returns whether both endpoints recognise the same idempotency key.
+bool are_in_same_dedup_scope(const ClassSettings& request_class, const EndpointEntry& first,
+                             const EndpointEntry& second) {
   switch (request_class.dedup_scope) {
     case DedupScope::kAll:
       return true;
@@ -21,7 +21,8 @@
   return false;
 }
 
-// Whether a repetition that is sent now reaches its endpoint while the key of the earlier attempt is known.
+// Returns whether an attempt that is sent now reaches its endpoint while the key of the earlier attempt is
+// still recognised.
 bool is_within_dedup_window(const DecisionContext& context, const ClassSettings& request_class,
                             const Attempt& earlier) {
   const Settings& settings = context.settings();
@@ -38,7 +39,7 @@
     case Idempotency::kNonIdempotent:
       return false;
     case Idempotency::kByKey:
-      return share_idempotency_keys(request_class, endpoint.entry, earlier.endpoint->entry) &&
+      return are_in_same_dedup_scope(request_class, endpoint.entry, earlier.endpoint->entry) &&
              is_within_dedup_window(context, request_class, earlier);
   }
   return false;
@@ -57,8 +58,8 @@
 
 bool is_attempt_allowed(const DecisionContext& context, const Request& request, const Endpoint& endpoint) {
   return std::all_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& earlier) {
-    const bool was_tried = earlier.endpoint == &endpoint;  // an endpoint that failed once may fail again
-    return !was_tried && is_repetition_safe(context, *request.request_class, earlier, endpoint);
+    const bool was_attempted = earlier.endpoint == &endpoint;  // an endpoint that failed once may fail again
+    return !was_attempted && is_repetition_safe(context, *request.request_class, earlier, endpoint);
   });
 }
 
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Which repetitions of a request are safe, by the idempotency of its class.
+// Rules for safe retries and rejections of a request, by the idempotency of its class.
 #pragma once
 
 #include "decision/decision_context.hpp"
@@ -8,16 +8,17 @@
 
 namespace quota_gateway::decision {
 
-// Whether an attempt of this outcome may have executed the request.
+// Returns whether an attempt with this outcome may have executed the request.
 bool may_have_executed(Outcome outcome);
 
-// Whether requests of the class may be executed more than once at all.
+// Returns whether requests of the class may ever be executed more than once.
 bool is_repeatable(const ClassSettings& request_class);
 
-// Whether the next attempt of the request may go to the endpoint without a risk of a second effect.
+// Returns whether the next attempt of the request may be sent to the endpoint: no earlier attempt went there,
+// and there is no risk of a second effect.
 bool is_attempt_allowed(const DecisionContext& context, const Request& request, const Endpoint& endpoint);
 
-// Whether the final response may be a rejection, which invites the client to send the request again.
+// Returns whether the final response may be a rejection, which tells the client that it may retry.
 bool is_rejection_safe(const Request& request);
 
 }  // namespace quota_gateway::decision
--- a/src/decision/service_catalog.cpp
+++ b/src/decision/service_catalog.cpp
@@ -5,7 +5,7 @@
 namespace quota_gateway::decision {
 namespace {
 
-// The last entry of this name, or null.
+// Returns the last entry with this name, or null.
 template <typename Entry>
 const Entry* find_by_name(const std::vector<Entry>& entries, const std::string& name) {
   const auto found =
--- a/src/decision/slow_attempt_check.cpp
+++ b/src/decision/slow_attempt_check.cpp
@@ -30,8 +30,8 @@
   if (dispatcher_.send(request)) retry_budget_.consume_token();
 }
 
-// An endpoint that has responded to another attempt in the meantime works on a heavy request; one that has
-// not is stalled.
+// If the endpoint has responded to another attempt in the meantime, this one is a heavy request; otherwise
+// the endpoint has stalled.
 bool SlowAttemptCheck::is_endpoint_stalled(const Attempt& attempt) const {
   return attempt.endpoint->awaiting_response_since <= attempt.sent_at;
 }
--- a/src/decision/slow_attempt_check.hpp
+++ b/src/decision/slow_attempt_check.hpp
@@ -1,4 +1,4 @@
-// What is done about attempts that take much longer than expected.
+// Handles attempts that take much longer than expected.
 #pragma once
 
 #include "decision/attempt_dispatcher.hpp"
@@ -8,8 +8,8 @@
 
 namespace quota_gateway::decision {
 
-// Hedges a slow attempt where hedging is allowed, and cancels one whose endpoint seems to have stalled.
-// Either costs a token of the retry budget.
+// Hedges a slow attempt if hedging is allowed; otherwise cancels it if its endpoint seems to have stalled.
+// Either consumes a token of the retry budget.
 class SlowAttemptCheck {
  public:
   SlowAttemptCheck(DecisionContext& context, AttemptDispatcher& dispatcher, RetryBudget& retry_budget)
