--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -1,5 +1,4 @@
-// Admission control: decides whether a request is forwarded within its customer's quota, forwarded beyond it,
-// or rejected.
+// Admission control: forwards requests within their customer's quota or beyond it, or rejects them.
 #pragma once
 
 #include "decision/admission_queue.hpp"
--- a/src/decision/attempt_dispatcher.hpp
+++ b/src/decision/attempt_dispatcher.hpp
@@ -24,8 +24,7 @@
 
   // Handles the end of a pending request body: endpoints have the whole request and start to work on it.
   void on_body_completed(Request& request, TimePoint client_deadline);
-  // Counts an attempt for its endpoint, as no work, if it responded or ended while the body was still
-  // pending.
+  // Counts an attempt that responded or ended while the body was still pending as no work for its endpoint.
   void register_without_work(const Attempt& attempt);
   // Schedules the next check of whether the attempt is slow.
   void schedule_slow_check(const Request& request, int attempt_index);
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -62,7 +62,7 @@
   void handle(TimePoint now, const std::vector<Event>& events, std::vector<Action>& actions);
 
   // Visits the values of HotRestartState::fleet. Their order must not change: the state is stored as a plain
-  // list of numbers, and another build may read it, which identifies each value by its position.
+  // list of numbers, and the process that reads it may be another build, which assigns values by position.
   template <typename Visitor>
   void visit_fields(Visitor visit) {
     slices_.visit_fields(visit);
--- a/src/decision/latency_model.cpp
+++ b/src/decision/latency_model.cpp
@@ -20,8 +20,8 @@
   const double mean_units = estimate(request_class).mean_units;
   const bool sizes_known = mean_units > 0 && units > 0;
   if (!sizes_known) return mean_latency(request_class);
-  // The ratio is bounded, since a request with almost no expected latency would be checked for slowness
-  // continually.
+  // The ratio is bounded: a request with almost no expected latency would be checked for slowness
+  // again and again.
   const double max_ratio = settings_.max_request_units;
   return mean_latency(request_class) * std::clamp(units / mean_units, 1 / max_ratio, max_ratio);
 }
--- a/src/decision/retry_budget.hpp
+++ b/src/decision/retry_budget.hpp
@@ -3,8 +3,7 @@
 
 namespace quota_gateway::decision {
 
-// A token bucket that is filled by first attempts. Each retry or hedged attempt that may repeat work consumes
-// one token.
+// A token bucket that first attempts fill. A retry or hedged attempt that may repeat work consumes one token.
 class RetryBudget {
  public:
   void on_first_attempt();
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -21,8 +21,7 @@
   return false;
 }
 
-// Returns whether an attempt that is sent now reaches its endpoint while the key of the earlier attempt is
-// still recognised.
+// Returns whether an attempt sent now arrives while the endpoint still recognises the earlier attempt's key.
 bool is_within_dedup_window(const DecisionContext& context, const ClassSettings& request_class,
                             const Attempt& earlier) {
   const Settings& settings = context.settings();
--- a/tests/decision/decision_engine_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -1,4 +1,4 @@
-// The decision engine as a whole: bad input, size and determinism.
+// The decision engine as a whole: invalid input, scale and determinism.
 #include <gtest/gtest.h>
 
 #include <ctime>
@@ -12,7 +12,7 @@
 namespace quota_gateway::testing {
 namespace {
 
-TEST(DecisionEngine, EventsOfFinishedRequestsAreIgnored) {
+TEST(DecisionEngine, IgnoresEventsOfFinishedRequests) {
   EngineHarness engine;
   auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
   engine.end(2 * kMillisecond, sent.at(0), Outcome::kOk);
@@ -27,7 +27,7 @@
   EXPECT_TRUE(actions_of<RejectRequest>(late).empty());
 }
 
-TEST(DecisionEngine, BadInputNeitherCrashesNorLosesARequest) {
+TEST(DecisionEngine, InvalidInputNeitherCrashesNorLosesRequests) {
   Settings settings = settings_with_counter();
   settings.gateway_count = 0;
   EngineHarness engine(settings);
@@ -50,22 +50,22 @@
   ended.duration = -5;
   ended.load.in_flight = 1e30;
   ended.load.queued = -3;
-  auto more =
+  auto after_end =
       engine.step(kSecond + kMillisecond, {ended, CounterReply{}, ProbeEnded{}, EndpointListUpdate{}});
-  append(out, more);
-  auto rest = engine.run(4 * kSecond);
-  append(out, rest);
-  std::map<std::string, int> answers;
-  for (const RejectRequest& rejection : actions_of<RejectRequest>(out)) ++answers[rejection.id];
-  for (const FailRequest& failure : actions_of<FailRequest>(out)) ++answers[failure.id];
-  for (const auto& [id, n] : answers) EXPECT_EQ(n, 1) << id;
+  append(out, after_end);
+  auto remaining = engine.run(4 * kSecond);
+  append(out, remaining);
+  std::map<std::string, int> final_responses;
+  for (const RejectRequest& rejection : actions_of<RejectRequest>(out)) ++final_responses[rejection.id];
+  for (const FailRequest& failure : actions_of<FailRequest>(out)) ++final_responses[failure.id];
+  for (const auto& [id, count] : final_responses) EXPECT_EQ(count, 1) << id;
   std::set<std::string> attempted;
   for (const SendAttempt& attempt : actions_of<SendAttempt>(out)) attempted.insert(attempt.id);
   for (int i = 0; i < 1000; ++i)
-    EXPECT_TRUE(answers.count(numbered("r", i)) || attempted.count(numbered("r", i))) << i;
+    EXPECT_TRUE(final_responses.count(numbered("r", i)) || attempted.count(numbered("r", i))) << i;
 }
 
-TEST(DecisionEngine, ARequestWithImpossibleUnitsDoesNotDistortOtherEstimates) {
+TEST(DecisionEngine, OversizedRequestDoesNotDistortEstimatesOfOthers) {
   Settings settings = basic_settings();
   settings.allow_cancel = false;  // so that a slow attempt is only checked
   settings.max_request_units = 4;
@@ -74,70 +74,71 @@
   RequestArrived usual = EngineHarness::request("usual", kMillisecond);
   usual.customer = "c2";
   ASSERT_EQ(actions_of<SendAttempt>(engine.step(kMillisecond, {usual})).size(), 1u);
-  // Without a response it is checked a few times until its deadline, beside the timer of each period.
+  // Without a response, a few slowness checks are scheduled until its deadline, in addition to the timer of
+  // each maintenance period.
   EXPECT_LT(actions_of<SetTimer>(engine.run(500 * kMillisecond)).size(), 20u);
 }
 
-TEST(DecisionEngine, AThousandGatewaysAndEndpointsAreSupported) {
-  constexpr int kThousand = 1024;
+TEST(DecisionEngine, SupportsAThousandGatewaysAndEndpoints) {
+  constexpr int kFleetSize = 1024;
   Settings settings = settings_with_counter();
-  settings.gateway_count = kThousand;
-  settings.gateway_index = kThousand - 1;
+  settings.gateway_count = kFleetSize;
+  settings.gateway_index = kFleetSize - 1;
   std::vector<std::string> names;
-  for (int i = 0; i < kThousand; ++i) names.push_back(numbered("s", i));
+  for (int i = 0; i < kFleetSize; ++i) names.push_back(numbered("s", i));
   EngineHarness engine(settings, up(names));
   SharedCounter counter;
-  std::set<std::string> used;
+  std::set<std::string> used_endpoints;
   std::set<std::int64_t> counter_names;
   TimePoint now = kSecond;
-  for (int i = 0; i < 2 * kThousand; ++i, now += kSecond) {
+  for (int i = 0; i < 2 * kFleetSize; ++i, now += kSecond) {
     RequestArrived request = EngineHarness::request(numbered("r", i), now);
     request.customer = numbered("c", i);
-    request.gateway_set_size = kThousand;
-    request.first_gateway_index = i % kThousand;
-    auto todo = engine.step(now, {request});
-    ASSERT_EQ(actions_of<IncrementCounter>(todo).size(), 1u) << i;
-    const auto call = actions_of<IncrementCounter>(todo)[0];
+    request.gateway_set_size = kFleetSize;
+    request.first_gateway_index = i % kFleetSize;
+    auto actions = engine.step(now, {request});
+    ASSERT_EQ(actions_of<IncrementCounter>(actions).size(), 1u) << i;
+    const auto call = actions_of<IncrementCounter>(actions)[0];
     counter_names.insert(call.name);
     const auto sent = actions_of<SendAttempt>(engine.step(now, {counter.increment(call)}));
     ASSERT_EQ(sent.size(), 1u) << i;
-    used.insert(sent[0].endpoint);
+    used_endpoints.insert(sent[0].endpoint);
     engine.end(now, sent[0], Outcome::kOk);
     engine.run(now + kSecond / 2);
   }
-  EXPECT_EQ(counter_names.size(), 2u * kThousand);
-  EXPECT_GT(used.size(), 500u);  // independent draws would reach some 880
-  EXPECT_EQ(engine.engine().count_endpoints(now).listed, std::size_t(kThousand));
-  EndpointListUpdate none;
-  engine.step(now, {none});
+  EXPECT_EQ(counter_names.size(), 2u * kFleetSize);
+  EXPECT_GT(used_endpoints.size(), 500u);  // independent random picks would reach about 880
+  EXPECT_EQ(engine.engine().count_endpoints(now).listed, std::size_t(kFleetSize));
+  EndpointListUpdate empty_list;
+  engine.step(now, {empty_list});
   EXPECT_EQ(engine.engine().count_endpoints(now).listed, 0u);
 }
 
-// Seconds of processor time that a thousand requests take among so many endpoints.
-double cpu_seconds_of_a_thousand_requests(int servers) {
+// Returns the CPU seconds that a thousand requests take with this number of endpoints.
+double cpu_seconds_of_a_thousand_requests(int endpoint_count) {
   Settings settings = basic_settings();
   settings.gateway_count = 300;
   settings.plans[0].rate = settings.plans[0].burst = 1e6;
   std::vector<std::string> names;
-  for (int i = 0; i < servers; ++i) names.push_back(numbered("s", i));
+  for (int i = 0; i < endpoint_count; ++i) names.push_back(numbered("s", i));
   EngineHarness engine(settings, up(names));
-  const std::clock_t began = std::clock();
+  const std::clock_t started_at = std::clock();
   TimePoint now = kSecond;
   for (int i = 0; i < 1000; ++i, now += 30 * kMillisecond) {
     for (const SendAttempt& attempt : actions_of<SendAttempt>(engine.arrive(now, numbered("r", i))))
       engine.end(now + 10 * kMillisecond, attempt, Outcome::kOk, 0, 10 * kMillisecond);
     engine.run(now + 20 * kMillisecond);
   }
-  return double(std::clock() - began) / CLOCKS_PER_SEC;
+  return double(std::clock() - started_at) / CLOCKS_PER_SEC;
 }
 
-TEST(DecisionEngineCost, SixteenTimesTheEndpointsTakeLittleMoreProcessorTime) {
-  const double usual = cpu_seconds_of_a_thousand_requests(200),
-               many = cpu_seconds_of_a_thousand_requests(3200);
-  EXPECT_LE(many, 1.4 * usual + 0.02 + 0.03 * 3.2);
+TEST(DecisionEngineCost, SixteenTimesTheEndpointsTakeLittleMoreCpuTime) {
+  const double with_few_endpoints = cpu_seconds_of_a_thousand_requests(200),
+               with_many_endpoints = cpu_seconds_of_a_thousand_requests(3200);
+  EXPECT_LE(with_many_endpoints, 1.4 * with_few_endpoints + 0.02 + 0.03 * 3.2);
 }
 
-TEST(DecisionEngine, UnknownPlanAndClassAreStillServed) {
+TEST(DecisionEngine, ServesRequestsWithUnknownPlanAndClass) {
   EngineHarness engine;
   RequestArrived request = EngineHarness::request("x", 0);
   request.plan = "no such plan";
@@ -146,8 +147,8 @@
   EXPECT_EQ(actions_of<SendAttempt>(engine.step(0, {request})).size(), 1u);
 }
 
-TEST(DecisionEngine, TheSameEventsGiveTheSameActions) {
-  auto play = [] {
+TEST(DecisionEngine, SameEventsProduceTheSameActions) {
+  auto run_scenario = [] {
     EngineHarness engine;
     for (int i = 0; i < 50; ++i) engine.burst(i * 30 * kMillisecond, 3);
     engine.run(3 * kSecond);
@@ -156,7 +157,7 @@
       out.push_back(attempt.id + attempt.endpoint);
     return out;
   };
-  EXPECT_EQ(play(), play());
+  EXPECT_EQ(run_scenario(), run_scenario());
 }
 
 }  // namespace
--- a/tests/decision/latency_model_test.cpp
+++ b/tests/decision/latency_model_test.cpp
@@ -1,4 +1,4 @@
-// Latency estimates by class and size, and the catalog that numbers the classes.
+// Latency estimates by class and size, and the catalog that indexes the classes.
 #include "decision/latency_model.hpp"
 
 #include <gtest/gtest.h>
@@ -31,23 +31,23 @@
   const ClassSettings& write = catalog.request_class("write");
 };
 
-TEST_F(LatencyModelTest, TheFirstEstimateIsAFractionOfTheObjective) {
+TEST_F(LatencyModelTest, InitialEstimateIsAFractionOfTheObjective) {
   EXPECT_DOUBLE_EQ(model.mean_latency(read), 100'000);
   EXPECT_DOUBLE_EQ(model.expected_latency(write, 3), 200'000);
 }
 
-TEST_F(LatencyModelTest, TheFirstResponseWeighsNoMoreThanThePriorSamples) {
+TEST_F(LatencyModelTest, PriorLimitsTheWeightOfTheFirstResponse) {
   model.record_latency(read, 10'000);
   EXPECT_DOUBLE_EQ(model.mean_latency(read), 100'000 - 90'000.0 / 9);
   EXPECT_DOUBLE_EQ(model.mean_latency(write), 200'000);
 }
 
-TEST_F(LatencyModelTest, TheMeanFollowsALastingChange) {
+TEST_F(LatencyModelTest, MeanConvergesAfterAPersistentChange) {
   for (int i = 0; i < 1000; ++i) model.record_latency(read, 10'000);
   EXPECT_NEAR(model.mean_latency(read), 10'000, 1);
 }
 
-TEST_F(LatencyModelTest, TheExpectationIsInProportionToUnitsWithinBounds) {
+TEST_F(LatencyModelTest, ExpectedLatencyIsProportionalToUnitsWithinBounds) {
   model.record_units(read, 2);
   EXPECT_DOUBLE_EQ(model.expected_latency(read, 2), 100'000);
   EXPECT_DOUBLE_EQ(model.expected_latency(read, 4), 200'000);
@@ -65,14 +65,14 @@
   EXPECT_DOUBLE_EQ(model.mean_latency(read), 100'000);
 }
 
-TEST_F(LatencyModelTest, SerialisedAsAllMeansThenAllSamplesThenAllUnits) {
+TEST_F(LatencyModelTest, SerializesMeansThenSamplesThenUnits) {
   model.record_latency(write, 200'000);
   model.record_units(read, 3);
   const std::vector<double> expected = {0, 200'000, 0, 0, 1, 0, 3, 0, 0};
   EXPECT_EQ(serialize_fields(model), expected);
 }
 
-TEST(ServiceCatalogTest, OnlyConfiguredPlansAreFound) {
+TEST(ServiceCatalogTest, FindsOnlyConfiguredPlans) {
   Settings settings;
   settings.plans.resize(1);
   settings.plans[0].name = "basic";
--- a/tests/decision/rejection_log_test.cpp
+++ b/tests/decision/rejection_log_test.cpp
@@ -1,4 +1,4 @@
-// The log lines of the decision engine: their texts and the bound on their rate.
+// The log lines of the decision engine: their texts and their rate limit.
 #include "decision/rejection_log.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
  protected:
   DecisionLogTest() { set_time(kStart); }
   void set_time(TimePoint now) { context.begin_batch(now, actions); }
-  // The lines since the last call.
+  // Returns the lines logged since the last call.
   std::vector<std::string> lines() {
     std::vector<std::string> texts;
     for (const Action& action : actions) texts.push_back(std::get<LogMessage>(action).text);
@@ -33,7 +33,7 @@
 
 using Lines = std::vector<std::string>;
 
-TEST_F(DecisionLogTest, LinesOfOneKindAreWrittenOnceInAnInterval) {
+TEST_F(DecisionLogTest, WritesOneLineOfAKindPerInterval) {
   RateLimitedLog log(context);
   log.write(LogKind::kEndpointEjected, "first");
   set_time(kStart + kLogInterval - 1);
@@ -44,14 +44,14 @@
   EXPECT_EQ(lines(), Lines{"second"});
 }
 
-TEST_F(DecisionLogTest, LinesOfAnotherKindAreNotSuppressed) {
+TEST_F(DecisionLogTest, DoesNotSuppressLinesOfAnotherKind) {
   RateLimitedLog log(context);
   log.write(LogKind::kEndpointDisabled, "disabled");
   log.write(LogKind::kEndpointEnabled, "enabled");
   EXPECT_EQ(lines(), (Lines{"disabled", "enabled"}));
 }
 
-TEST_F(DecisionLogTest, RejectionsAreReportedByReason) {
+TEST_F(DecisionLogTest, ReportsRejectionsByReason) {
   RejectionLog log(context);
   log.count(RejectionReason::kAttemptsExhausted);
   log.count(RejectionReason::kSlice);
@@ -65,7 +65,7 @@
                   "hard limit 1, no endpoint capacity 1, attempts exhausted 1"});
 }
 
-TEST_F(DecisionLogTest, RejectionsAreReportedOnceAndNotTooOften) {
+TEST_F(DecisionLogTest, ReportsEachRejectionOnceAndLimitsTheRate) {
   RejectionLog log(context);
   log.report_if_due();
   EXPECT_EQ(lines(), Lines{});
--- a/tests/decision/retries_test.cpp
+++ b/tests/decision/retries_test.cpp
@@ -1,4 +1,4 @@
-// Retries by idempotency, and slow attempts.
+// Retries by idempotency, and the cancellation of stalled attempts.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,29 +8,29 @@
 namespace quota_gateway::testing {
 namespace {
 
-Settings settings_with_idempotency(Idempotency repeat) {
+Settings settings_with_idempotency(Idempotency idempotency) {
   Settings settings = basic_settings();
-  settings.classes[0].idempotency = repeat;
+  settings.classes[0].idempotency = idempotency;
   settings.classes[0].dedup_scope = DedupScope::kCell;
   settings.classes[0].dedup_window = 8 * kSecond;
   settings.classes[0].late_weight_fraction = 0.2;
   return settings;
 }
 
-TEST(Retries, AKeyedRequestThatMayHaveExecutedIsRetriedOnlyInItsCell) {
-  auto servers = up({"a", "b", "c", "d"});
-  for (int i = 0; i < 4; ++i) servers[std::size_t(i)].cell = i / 2;
-  EngineHarness engine(settings_with_idempotency(Idempotency::kByKey), servers);
+TEST(Retries, RetriesKeyedRequestThatMayHaveExecutedOnlyInItsCell) {
+  auto endpoints = up({"a", "b", "c", "d"});
+  for (int i = 0; i < 4; ++i) endpoints[std::size_t(i)].cell = i / 2;
+  EngineHarness engine(settings_with_idempotency(Idempotency::kByKey), endpoints);
   auto first = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
   ASSERT_EQ(first.size(), 1u);
   auto out = engine.end(50 * kMillisecond, first[0], Outcome::kReset);
   auto second = actions_of<SendAttempt>(out);
   ASSERT_EQ(second.size(), 1u);
-  auto cell = [](const std::string& n) { return n == "a" || n == "b"; };
-  EXPECT_EQ(cell(first[0].endpoint), cell(second[0].endpoint));
+  auto is_in_first_cell = [](const std::string& endpoint) { return endpoint == "a" || endpoint == "b"; };
+  EXPECT_EQ(is_in_first_cell(first[0].endpoint), is_in_first_cell(second[0].endpoint));
 }
 
-TEST(Retries, AKeyedRequestThatMayHaveExecutedIsFailedAndNotRejected) {
+TEST(Retries, FailsRatherThanRejectsKeyedRequestThatMayHaveExecuted) {
   Settings settings = settings_with_idempotency(Idempotency::kByKey);
   settings.max_attempts = 1;
   EngineHarness engine(settings);
@@ -40,30 +40,33 @@
   EXPECT_TRUE(actions_of<RejectRequest>(out).empty());
 }
 
-TEST(Retries, AKeyedRetryFromADelayedSenderStillArrivesWithinTheDedupWindow) {
-  // A gateway may be delayed by 150 ms between reading its clock and writing, after a connection that was
-  // established as late as allowed.
+TEST(Retries, KeyedRetryArrivesWithinDedupWindowDespiteDelays) {
+  // Between reading its clock and writing the request, a gateway may be delayed by 150 ms, in addition to a
+  // connection that takes the whole connect timeout.
   Settings settings = basic_settings();
   settings.classes[0].idempotency = Idempotency::kByKey;
   settings.classes[0].dedup_scope = DedupScope::kAll;
   settings.classes[0].dedup_window = kSecond;
   settings.classes[0].latency_objective = settings.classes[0].client_timeout = 2 * kSecond;
   settings.connect_timeout = 250 * kMillisecond;
-  for (const TimePoint at : {550 * kMillisecond, 650 * kMillisecond}) {
+  for (const TimePoint failed_after : {550 * kMillisecond, 650 * kMillisecond}) {
     EngineHarness engine(settings);
     const auto first = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
-    const auto again = actions_of<SendAttempt>(engine.end(kMillisecond + at, first.at(0), Outcome::kReset));
-    EXPECT_EQ(again.size(),
-              at + settings.connect_timeout + 150 * kMillisecond < settings.classes[0].dedup_window ? 1u : 0u)
-        << at;
+    const auto retries =
+        actions_of<SendAttempt>(engine.end(kMillisecond + failed_after, first.at(0), Outcome::kReset));
+    EXPECT_EQ(retries.size(),
+              failed_after + settings.connect_timeout + 150 * kMillisecond < settings.classes[0].dedup_window
+                  ? 1u
+                  : 0u)
+        << failed_after;
   }
 }
 
-TEST(Retries, ANonIdempotentRequestIsRetriedOnlyWhenItNeverExecuted) {
-  for (Outcome o : {Outcome::kTimeout, Outcome::kReset, Outcome::kError, Outcome::kCancelled}) {
+TEST(Retries, RetriesNonIdempotentRequestOnlyIfItNeverExecuted) {
+  for (Outcome outcome : {Outcome::kTimeout, Outcome::kReset, Outcome::kError, Outcome::kCancelled}) {
     EngineHarness engine(settings_with_idempotency(Idempotency::kNonIdempotent));
     auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
-    auto out = engine.end(50 * kMillisecond, sent.at(0), o);
+    auto out = engine.end(50 * kMillisecond, sent.at(0), outcome);
     EXPECT_TRUE(actions_of<SendAttempt>(out).empty());
     EXPECT_EQ(actions_of<FailRequest>(out).size(), 1u);
   }
@@ -73,7 +76,7 @@
       actions_of<SendAttempt>(engine.end(50 * kMillisecond, sent.at(0), Outcome::kConnectFailed)).size(), 1u);
 }
 
-TEST(Retries, AStalledAttemptIsCancelledAndRetriedElsewhereWithinTheLatencyObjective) {
+TEST(Retries, CancelsStalledAttemptAndRetriesElsewhereWithinLatencyObjective) {
   Settings settings = basic_settings();
   settings.plans[0].rate = settings.plans[0].burst = 1000;
   EngineHarness engine(settings);
@@ -83,17 +86,17 @@
   auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
   auto out = engine.run(450 * kMillisecond);
   ASSERT_EQ(actions_of<CancelAttempt>(out).size(), 1u);
-  auto again = actions_of<SendAttempt>(engine.end(451 * kMillisecond, sent.at(0), Outcome::kCancelled));
-  ASSERT_EQ(again.size(), 1u);
-  EXPECT_NE(again[0].endpoint, sent[0].endpoint);
+  auto retries = actions_of<SendAttempt>(engine.end(451 * kMillisecond, sent.at(0), Outcome::kCancelled));
+  ASSERT_EQ(retries.size(), 1u);
+  EXPECT_NE(retries[0].endpoint, sent[0].endpoint);
 }
 
-TEST(Retries, OneFastResponseDoesNotMakeTheNextAttemptsLookStalled) {
+TEST(Retries, OneFastResponseDoesNotMakeNextAttemptsLookStalled) {
   EngineHarness engine;
   auto quick = actions_of<SendAttempt>(engine.arrive(0, "quick"));
   engine.end(0, quick.at(0), Outcome::kOk, 0, 5 * kMillisecond);
   ASSERT_EQ(actions_of<SendAttempt>(engine.arrive(kMillisecond, "r")).size(), 1u);
-  // Its work may well be five times a sixth of the latency objective.
+  // A request may well take five times the prior mean latency, a sixth of the latency objective.
   EXPECT_TRUE(actions_of<CancelAttempt>(engine.run(400 * kMillisecond)).empty());
 }
 
--- a/tests/decision/retry_budget_test.cpp
+++ b/tests/decision/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-// The retry budget: what it holds at first, what fills it and its bound.
+// The retry budget: its initial tokens, its refill and its maximum.
 #include "decision/retry_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -17,14 +17,14 @@
   EXPECT_EQ(consume_all(budget), 10);
 }
 
-TEST(RetryBudgetTest, ATenthOfTheFirstAttemptsMayBeRepeated) {
+TEST(RetryBudgetTest, AllowsOneRetryPerTenFirstAttempts) {
   RetryBudget budget;
   consume_all(budget);
   for (int i = 0; i < 55; ++i) budget.on_first_attempt();
   EXPECT_EQ(consume_all(budget), 5);
 }
 
-TEST(RetryBudgetTest, HoldsTenTokensAtMost) {
+TEST(RetryBudgetTest, HoldsAtMostTenTokens) {
   RetryBudget budget;
   for (int i = 0; i < 1000; ++i) budget.on_first_attempt();
   EXPECT_EQ(consume_all(budget), 10);
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which attempts and final responses are safe, by the idempotency of the request's class.
+// Rules for safe retries and rejections, by the idempotency of the request's class.
 #include "decision/retry_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
     request.attempts.push_back({.endpoint = &first, .in_flight = false});
     context.begin_batch(kMillisecond, actions);
   }
-  void set_by_key(DedupScope scope, Duration window) {
+  void set_idempotent_by_key(DedupScope scope, Duration window) {
     request_class.idempotency = Idempotency::kByKey;
     request_class.dedup_scope = scope;
     request_class.dedup_window = window;
@@ -47,7 +47,7 @@
   Request request;
 };
 
-TEST_F(RetryPolicyTest, OnlyOutcomesBeforeExecutionRuleItOut) {
+TEST_F(RetryPolicyTest, OnlyOutcomesBeforeExecutionRuleOutExecution) {
   for (const Outcome outcome : {Outcome::kOverloaded, Outcome::kConnectFailed, Outcome::kNotSent})
     EXPECT_FALSE(may_have_executed(outcome));
   for (const Outcome outcome :
@@ -55,14 +55,14 @@
     EXPECT_TRUE(may_have_executed(outcome));
 }
 
-TEST_F(RetryPolicyTest, NoEndpointIsTriedTwice) {
+TEST_F(RetryPolicyTest, DoesNotSendToTheSameEndpointTwice) {
   request_class.idempotency = Idempotency::kIdempotent;
   request.attempts.front().may_have_executed = false;
   EXPECT_FALSE(is_allowed(first));
   EXPECT_TRUE(is_allowed(same_cell));
 }
 
-TEST_F(RetryPolicyTest, ANonIdempotentRequestIsRepeatedOnlyIfItWasNotExecuted) {
+TEST_F(RetryPolicyTest, RepeatsNonIdempotentRequestOnlyIfNotExecuted) {
   request_class.idempotency = Idempotency::kNonIdempotent;
   EXPECT_FALSE(is_repeatable(request_class));
   EXPECT_FALSE(is_allowed(same_cell));
@@ -70,21 +70,21 @@
   EXPECT_TRUE(is_allowed(same_cell));
 }
 
-TEST_F(RetryPolicyTest, AKeyIsRecognisedWithinItsScope) {
-  set_by_key(DedupScope::kCell, kSecond);
+TEST_F(RetryPolicyTest, AllowsKeyedRetryOnlyWithinDedupScope) {
+  set_idempotent_by_key(DedupScope::kCell, kSecond);
   EXPECT_TRUE(is_allowed(same_cell));
   EXPECT_FALSE(is_allowed(same_zone));
   EXPECT_FALSE(is_allowed(other_zone));
-  set_by_key(DedupScope::kZone, kSecond);
+  set_idempotent_by_key(DedupScope::kZone, kSecond);
   EXPECT_TRUE(is_allowed(same_zone));
   EXPECT_FALSE(is_allowed(other_zone));
-  set_by_key(DedupScope::kAll, kSecond);
+  set_idempotent_by_key(DedupScope::kAll, kSecond);
   EXPECT_TRUE(is_allowed(other_zone));
 }
 
-TEST_F(RetryPolicyTest, ARepetitionMustArriveWithinTheWindowDespiteConnectAndWriteDelays) {
-  set_by_key(DedupScope::kAll, kSecond);
-  // 1 s less the connect timeout, 150 ms between clock and write, and two ticks.
+TEST_F(RetryPolicyTest, KeyedRetryMustArriveWithinDedupWindowDespiteDelays) {
+  set_idempotent_by_key(DedupScope::kAll, kSecond);
+  // 1 s minus the connect timeout, two ticks, and 150 ms between reading the clock and writing to the socket.
   const TimePoint last_safe_at = kSecond - 252 * kMillisecond - 1;
   context.begin_batch(last_safe_at, actions);
   EXPECT_TRUE(is_allowed(other_zone));
@@ -92,20 +92,20 @@
   EXPECT_FALSE(is_allowed(other_zone));
 }
 
-TEST_F(RetryPolicyTest, EveryEarlierAttemptMustAllowTheNextOne) {
-  set_by_key(DedupScope::kCell, kSecond);
+TEST_F(RetryPolicyTest, RetryMustBeSafeWithRespectToEveryEarlierAttempt) {
+  set_idempotent_by_key(DedupScope::kCell, kSecond);
   request.attempts.push_back({.endpoint = &same_zone, .in_flight = false, .may_have_executed = false});
   EXPECT_TRUE(is_allowed(same_cell));
   request.attempts.back().may_have_executed = true;
   EXPECT_FALSE(is_allowed(same_cell));
 }
 
-TEST_F(RetryPolicyTest, ARejectionIsSafeIfTheClientMayRepeatTheRequest) {
+TEST_F(RetryPolicyTest, RejectionIsSafeOnlyIfTheClientMayRetry) {
   request_class.idempotency = Idempotency::kIdempotent;
   EXPECT_TRUE(is_rejection_safe(request));
-  set_by_key(DedupScope::kAll, kSecond);
+  set_idempotent_by_key(DedupScope::kAll, kSecond);
   EXPECT_TRUE(is_rejection_safe(request));
-  set_by_key(DedupScope::kZone, kSecond);  // the client's next request may reach another zone
+  set_idempotent_by_key(DedupScope::kZone, kSecond);  // the client's next request may reach another zone
   EXPECT_FALSE(is_rejection_safe(request));
   request_class.idempotency = Idempotency::kNonIdempotent;
   EXPECT_FALSE(is_rejection_safe(request));
