--- a/src/decision/endpoints/slow_start.cpp
+++ b/src/decision/endpoints/slow_start.cpp
@@ -94,7 +94,7 @@
     endpoint->work_sent = 0;
   }
   if (weight <= 0) return;
-  const double work_rate = work / weight / (kPeriod / kMicrosPerSecond);
+  const double work_rate = work / weight / (kMaintenancePeriod / kMicrosPerSecond);
   fully_started_work_rate_ += kFullyStartedWorkRateSmoothing * (work_rate - fully_started_work_rate_);
 }
 
--- a/src/decision/quota/counter_sync.cpp
+++ b/src/decision/quota/counter_sync.cpp
@@ -40,7 +40,7 @@
   if (customer.increments_in_flight > 0) return false;
   // Customers without a recent total have priority, because their remote demand is unknown without a call.
   if (is_total_recent) {
-    if (now - customer.last_increment_at < kPeriod) return false;
+    if (now - customer.last_increment_at < kMaintenancePeriod) return false;
     if (!pacer_.is_deferrable_call_available(customer.unreported_requests)) return false;
   } else if (!pacer_.is_call_available()) {
     return false;
