--- a/src/runtime/coordinator.cpp
+++ b/src/runtime/coordinator.cpp
@@ -39,7 +39,7 @@
                 body_budget_, upstream_callbacks()),
       disabled_endpoints_(
           timers_, configuration.shared_directory,
-          [this](const std::string& endpoint, bool disabled) { on_endpoint_disabled(endpoint, disabled); }),
+          [this](const std::string& endpoint, bool disabled) { on_admin_state_changed(endpoint, disabled); }),
       discovery_(io, timers_, clock, configuration.discovery, configuration.initial_endpoints.revision,
                  settings_.drain_grace,
                  [this](const DiscoveryUpdate& update) {
@@ -64,7 +64,7 @@
   counter_->start();
 }
 
-// Where a predecessor may serve on the same socket, the hot restart says when clients may be accepted.
+// If a predecessor may still be serving on the inherited socket, HotRestart decides when to accept clients.
 void Coordinator::start_listening(const Configuration& configuration) {
   if (!configuration.inherited_listener || configuration.shared_directory.empty()) {
     client_listener_.listen(configuration.listen, configuration.inherited_listener);
@@ -81,7 +81,7 @@
   admin_->listen(address);
 }
 
-// ---- Connections between the modules --------------------------------------------------------------------
+// ---- Callbacks between the modules ----------------------------------------------------------------------
 DecisionLoop::Callbacks Coordinator::decision_callbacks() {
   return {.on_action = [this](const Action& action) { execute(action); },
           .on_batch_processed = [this] { forwarder_.on_batch_processed(); }};
@@ -153,7 +153,7 @@
               }};
 }
 
-// ---- Decisions ------------------------------------------------------------------------------------------
+// ---- Actions of the decision engine ---------------------------------------------------------------------
 void Coordinator::execute(const Action& action) {
   std::visit(Overloaded{
                  [this](const SendAttempt& attempt) { forwarder_.send_attempt(attempt); },
@@ -165,8 +165,8 @@
                        timer.at, [this, token = timer.token] { decision_loop_.push(TimerFired{token}); });
                  },
                  [this](const IncrementCounter& increment) { increment_counter(increment); },
-                 [](const SendProbe&) {},             // The settings of a gateway do not allow probes.
-                 [](const SubscribeToEndpoints&) {},  // Discovery is watched at all times.
+                 [](const SendProbe&) {},             // A gateway's settings do not allow probes.
+                 [](const SubscribeToEndpoints&) {},  // Discovery is always watched.
                  [](const LogMessage& message) { std::cerr << message.text << '\n'; },
              },
              action);
@@ -189,7 +189,7 @@
   decision_loop_.push(std::move(event));
 }
 
-void Coordinator::on_endpoint_disabled(const std::string& endpoint, bool disabled) {
+void Coordinator::on_admin_state_changed(const std::string& endpoint, bool disabled) {
   upstream_.set_disabled(endpoint, disabled);
   decision_loop_.push(AdminStateChanged{endpoint, disabled});
 }
@@ -205,7 +205,7 @@
   });
 }
 
-// ---- State of the gateway -------------------------------------------------------------------------------
+// ---- Lifecycle and status -------------------------------------------------------------------------------
 void Coordinator::on_listening(std::function<void()> callback) {
   on_listening_ = std::move(callback);
   if (is_listening_) on_listening_();
--- a/src/runtime/coordinator.hpp
+++ b/src/runtime/coordinator.hpp
@@ -1,4 +1,4 @@
-// One gateway: its modules and the connections between them.
+// Assembles a gateway from its modules and connects them with each other.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,22 +26,24 @@
 
 namespace quota_gateway::net {
 
-// Owns all modules of a gateway. Passes what they report to each other and to the decision engine, and
-// distributes the actions of the engine. Runs in one event loop.
+// Owns all modules of a gateway. Forwards their events to each other and to the decision engine, and
+// dispatches the engine's actions. Runs in one event loop.
 class Coordinator {
  public:
   Coordinator(boost::asio::io_context& io, const Configuration& configuration, const Clock& clock);
 
+  // Returns the address that clients connect to.
   [[nodiscard]] boost::asio::ip::tcp::endpoint address() const { return client_listener_.address(); }
+  // Returns the address of the admin server, which the configuration must enable.
   [[nodiscard]] boost::asio::ip::tcp::endpoint admin_address() const { return admin_->address(); }
 
-  // Calls `callback` once clients can connect.
+  // Calls `callback` once clients can connect; at once if they already can.
   void on_listening(std::function<void()> callback);
 
-  // Moves to the addresses of discovery and of the counter in a new configuration.
+  // Switches to the discovery and counter addresses of a new configuration. Its other values are not applied.
   void apply_configuration(const Configuration& configuration);
 
-  // Shuts down gracefully and then calls `on_drained`, once.
+  // Shuts down gracefully, then calls `on_drained` once.
   void drain(std::function<void()> on_drained);
 
  private:
@@ -58,7 +60,7 @@
   void execute(const Action& action);
   void increment_counter(const IncrementCounter& action);
   void on_endpoint_update(const DiscoveryUpdate& update, EndpointListUpdate::Kind kind);
-  void on_endpoint_disabled(const std::string& endpoint, bool disabled);
+  void on_admin_state_changed(const std::string& endpoint, bool disabled);
   void set_disabled(const std::string& endpoint, bool disabled,
                     const std::function<void(DisableResult)>& on_done);
   void handle_listening();
--- a/src/runtime/decision_loop.cpp
+++ b/src/runtime/decision_loop.cpp
@@ -10,14 +10,14 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr Duration kReportedWallClockStep = 20'000;  // us; a smaller drift has no effect on the engine
-constexpr Duration kLoggedWallClockStep = 500'000;   // us
+constexpr Duration kWallClockStepReportThreshold = 20'000;  // us; a smaller drift has no effect on the engine
+constexpr Duration kWallClockStepLogThreshold = 500'000;    // us
 constexpr Duration kMicrosecondsPerMillisecond = 1'000;
 
-// Logs the failure of one operation, so that the others are still carried out. Does not log by std::cerr, as
-// this may throw and may be what has failed.
+// Runs an operation and logs an exception instead of passing it on, so that the remaining operations still
+// run. Does not log to std::cerr, which may throw and may itself be what has failed.
 template <typename Operation>
-void log_failure(const char* name, const Operation& operation) {
+void run_and_log_failure(const char* name, const Operation& operation) {
   try {
     operation();
   } catch (const std::exception& error) {
@@ -44,16 +44,16 @@
   std::vector<Event> events;
   std::vector<Action> actions;
   events.swap(events_);
-  log_failure("batch of events", [&] { engine_.handle(clock_.now(), events, actions); });
-  for (const Action& action : actions) log_failure("action", [&] { callbacks_.on_action(action); });
+  run_and_log_failure("batch of events", [&] { engine_.handle(clock_.now(), events, actions); });
+  for (const Action& action : actions) run_and_log_failure("action", [&] { callbacks_.on_action(action); });
   callbacks_.on_batch_processed();
 }
 
 void DecisionLoop::check_wall_clock() {
   const Duration offset = clock_.wall_now() - clock_.now();
   const Duration step = offset - wall_clock_offset_;
-  if (std::abs(step) < kReportedWallClockStep) return;
-  if (std::abs(step) > kLoggedWallClockStep) {
+  if (std::abs(step) < kWallClockStepReportThreshold) return;
+  if (std::abs(step) > kWallClockStepLogThreshold) {
     std::cerr << "decision loop: the wall clock was stepped by " << step / kMicrosecondsPerMillisecond
               << " ms\n";
   }
--- a/src/runtime/decision_loop.hpp
+++ b/src/runtime/decision_loop.hpp
@@ -1,4 +1,4 @@
-// Connects the decision engine to the event loop.
+// Runs the decision engine in the event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,13 +13,14 @@
 
 namespace quota_gateway::net {
 
-// Owns the decision engine and is its only caller. The events of one turn of the event loop are processed as
-// one batch, after that turn.
+// Owns the decision engine and is its only caller. Events that are pushed in the same iteration of the event
+// loop are processed together, as one batch, after that iteration.
 class DecisionLoop {
  public:
   struct Callbacks {
+    // Called for each action of the engine, in order.
     std::function<void(const Action&)> on_action;
-    // All actions of a batch have been carried out.
+    // Called when all actions of a batch have been executed.
     std::function<void()> on_batch_processed;
   };
 
@@ -29,10 +30,12 @@
   // Adds an event to the next batch.
   void push(Event event);
 
-  // Processes the pending events and returns the state for the process that replaces this one.
+  // Processes the pending events and returns the state for the successor process.
   HotRestartState begin_hot_restart();
 
+  // Returns the number of attempts in flight by customer.
   [[nodiscard]] std::map<std::string, int> attempts_in_flight() const { return engine_.attempts_in_flight(); }
+  // Returns the numbers of listed and of excluded endpoints.
   [[nodiscard]] DecisionEngine::EndpointCounts count_endpoints() const;
 
  private:
@@ -45,7 +48,7 @@
   DecisionEngine engine_;
   std::vector<Event> events_;
   bool batch_scheduled_ = false;
-  Duration wall_clock_offset_ = 0;  // from the clock of the gateway, as last reported to the engine
+  Duration wall_clock_offset_ = 0;  // from the gateway's clock, as last reported to the engine
 };
 
 }  // namespace quota_gateway::net
--- a/src/runtime/graceful_shutdown.cpp
+++ b/src/runtime/graceful_shutdown.cpp
@@ -6,13 +6,14 @@
 namespace quota_gateway::net {
 namespace {
 
-// Clients still connect for up to 0.4 s after the platform has announced the shutdown.
+// Clients may still connect up to 0.4 s after the platform has announced the shutdown.
 constexpr Duration kAcceptDuration = 1'000'000;   // us
 constexpr Duration kDrainCheckInterval = 20'000;  // us
-// The platform kills the process after the longest client timeout, capped, and a grace period.
+// The platform kills the process once the longest client timeout, capped at this value, and then a grace
+// period have passed.
 constexpr Duration kMaxTimeoutBeforeKill = 3'000'000;  // us
 constexpr Duration kKillGracePeriod = 700'000;         // us
-// The last responses are due so much earlier, as the process may be descheduled meanwhile.
+// Final responses are due this long before the kill, because the process may be descheduled in the meantime.
 constexpr Duration kResponseMargin = 250'000;  // us
 
 }  // namespace
--- a/src/runtime/graceful_shutdown.hpp
+++ b/src/runtime/graceful_shutdown.hpp
@@ -1,4 +1,4 @@
-// The graceful shutdown of one gateway.
+// Graceful shutdown of a gateway.
 #pragma once
 
 #include <functional>
@@ -10,14 +10,15 @@
 
 namespace quota_gateway::net {
 
-// Accepts clients until they have moved to another gateway, and finishes the requests in progress before the
-// platform kills the process.
+// Keeps accepting clients while they move to other gateways, and completes the requests in progress before
+// the platform kills the process.
 class GracefulShutdown {
  public:
   GracefulShutdown(Timers& timers, ClientListener& client_listener, RequestForwarder& forwarder,
                    Duration max_client_timeout);
 
-  // Calls `on_drained`, once, when no request is left. A second start has no effect.
+  // Starts the shutdown. Calls `on_drained` once, when no request is left or the deadline has passed. Has no
+  // effect if the shutdown is already started.
   void start(std::function<void()> on_drained);
 
   [[nodiscard]] bool is_started() const { return on_drained_ != nullptr; }
@@ -30,7 +31,7 @@
   RequestForwarder& forwarder_;
   const Duration max_client_timeout_;
   std::function<void()> on_drained_;
-  TimePoint deadline_ = 0;  // when the process exits at the latest
+  TimePoint deadline_ = 0;  // the shutdown ends then, even if requests are left
 };
 
 }  // namespace quota_gateway::net
--- a/src/runtime/request_forwarder.cpp
+++ b/src/runtime/request_forwarder.cpp
@@ -8,14 +8,16 @@
 namespace quota_gateway::net {
 namespace {
 
-// The response needs time on its way to the client, whose timeout runs from its send.
+// Time for the response to reach the client, whose timeout starts when it sends the request.
 constexpr Duration kResponseMargin = 20'000;     // us
 constexpr double kMaxResponseMarginShare = 0.1;  // of the client's timeout
-// The decision engine answers at the deadline; so much later the forwarder does so in its place.
-constexpr Duration kDeadlineBackstop = 10'000;  // us
-// A response that is forwarded in chunks may go on after its deadline, but not stall for so long.
+// The decision engine gives the final response by the deadline. If it has not, the forwarder does so after
+// this delay.
+constexpr Duration kFallbackResponseDelay = 10'000;  // us
+// A response that is forwarded in chunks may continue after its deadline, but may not stall for this long.
 constexpr Duration kStreamStallTimeout = 400'000;  // us
-// A client waits from the last byte of its body on; uploads that stall are ended by the client listener.
+// Deadline of a request while its body is uploaded: the client's timeout starts only with the last byte of
+// the body, and the client listener ends uploads that stall.
 constexpr Duration kUploadTimeout = 3'600'000'000;  // us
 
 constexpr int kStatusOk = 200;
@@ -26,13 +28,13 @@
 
 }  // namespace
 
-RequestForwarder::RequestForwarder(const Parts& parts, const Settings& settings)
-    : io_(parts.io),
-      timers_(parts.timers),
-      decision_loop_(parts.decision_loop),
-      client_listener_(parts.client_listener),
-      upstream_(parts.upstream),
-      metrics_(parts.metrics),
+RequestForwarder::RequestForwarder(const Dependencies& dependencies, const Settings& settings)
+    : io_(dependencies.io),
+      timers_(dependencies.timers),
+      decision_loop_(dependencies.decision_loop),
+      client_listener_(dependencies.client_listener),
+      upstream_(dependencies.upstream),
+      metrics_(dependencies.metrics),
       max_attempts_(settings.max_attempts),
       allow_hedging_(settings.allow_hedging) {}
 
@@ -48,10 +50,10 @@
   if (body_pending) {
     request.deadline = timers_.now() + kUploadTimeout;
   } else {
-    start_deadline(request, client_request.received_at);
+    set_deadline(request, client_request.received_at);
   }
   RequestArrived arrived = std::move(client_request.arrived);
-  arrived.id = std::to_string(request.id);  // A client may use its own identifier more than once.
+  arrived.id = std::to_string(request.id);  // A client may reuse its own request ID.
   arrived.body_pending = body_pending;
   arrived.deadline = request.deadline;
   decision_loop_.push(std::move(arrived));
@@ -61,11 +63,11 @@
 void RequestForwarder::on_body_complete(RequestId id, TimePoint last_byte_pending_since) {
   RequestRecord* request = requests_.find(id);
   if (request == nullptr || request->is_answered()) return;
-  start_deadline(*request, last_byte_pending_since);
+  set_deadline(*request, last_byte_pending_since);
   for (int index = 0; index <= request->last_attempt(); ++index) {
     AttemptRecord& attempt = request->attempt(index);
     if (!attempt.in_flight) continue;
-    attempt.sent_at = timers_.now();  // The endpoint begins to process the request only now.
+    attempt.sent_at = timers_.now();  // The endpoint can process the request only from now on.
     schedule_attempt_timeout({id, index}, request->deadline);
   }
   decision_loop_.push(RequestBodyCompleted{std::to_string(id), request->deadline});
@@ -89,7 +91,7 @@
   }
   request->response = ResponseState::kClosed;
   --requests_in_progress_;
-  // An attempt that no endpoint can have started is not sent, whether or not cancelling is allowed.
+  // Attempts that no endpoint can have started are cancelled even if the settings do not allow cancelling.
   cancel_unwritten_attempts(*request, Outcome::kNotSent);
   requests_.retire_if_finished(*request);
 }
@@ -106,9 +108,10 @@
   return latest_deadline_ ? std::min(deadline, *latest_deadline_) : deadline;
 }
 
-void RequestForwarder::start_deadline(RequestRecord& request, TimePoint received_at) {
+void RequestForwarder::set_deadline(RequestRecord& request, TimePoint received_at) {
   request.deadline = deadline_of(request, received_at);
-  timers_.schedule_at(request.deadline + kDeadlineBackstop, [this, id = request.id] { on_deadline(id); });
+  timers_.schedule_at(request.deadline + kFallbackResponseDelay,
+                      [this, id = request.id] { on_deadline(id); });
 }
 
 void RequestForwarder::on_deadline(RequestId id) {
@@ -118,7 +121,7 @@
   request->last_attempt_timed_out = true;
   fail(*request);
   decision_loop_.push(RequestCancelled{std::to_string(id)});
-  // The rest of a body that no endpoint has received completely is no longer awaited.
+  // Stops waiting for the rest of a body that no endpoint has received completely.
   cancel_unwritten_attempts(*request, Outcome::kConnectFailed);
 }
 
@@ -155,9 +158,9 @@
   if (request == nullptr || request->is_answered()) return;
   const AttemptRecord& attempt = request->attempt(key.attempt);
   request->response = ResponseState::kStreamed;
-  // An endpoint may respond before it has received the complete body. The client's time then starts here.
+  // An endpoint may respond before it has received the complete body. The client's timeout then starts now.
   if (request->is_uploading()) {
-    start_deadline(*request, timers_.now());
+    set_deadline(*request, timers_.now());
     schedule_attempt_timeout(key, request->deadline);
   }
   decision_loop_.push(ResponseStarted{.id = std::to_string(key.request_id),
@@ -197,7 +200,8 @@
   requests_.retire_if_finished(*request);
 }
 
-// Gives the client what the end of an attempt means for its response.
+// Sends, completes or aborts the client's response, according to the result of the attempt that has ended. A
+// failed attempt without a streamed response leaves the request pending.
 void RequestForwarder::end_response(RequestRecord& request, AttemptResult& result) {
   const bool is_complete = result.outcome == Outcome::kOk;
   if (!request.is_streamed()) {
@@ -249,7 +253,7 @@
   upstream_.send(key, action.endpoint, request->outgoing, is_uploading ? now + request->timeout : deadline);
 }
 
-// Whether the newest attempt may be sent. The client may have disconnected since the batch of events.
+// Returns whether the latest attempt may be sent. The client may have disconnected since the batch of events.
 bool RequestForwarder::is_attempt_allowed(const RequestRecord& request) const {
   if (request.is_answered()) return false;
   if (request.attempts_in_flight > 1 && !allow_hedging_) return false;
@@ -287,7 +291,7 @@
   requests_.retire_if_finished(request);
 }
 
-// Sends the final response, unless the request already has one.
+// Sends the final response unless the request is already answered.
 void RequestForwarder::respond(RequestRecord& request, const Response& response) {
   if (request.is_answered()) return;
   request.response = ResponseState::kClosed;
--- a/src/runtime/request_forwarder.hpp
+++ b/src/runtime/request_forwarder.hpp
@@ -1,4 +1,4 @@
-// The way of a request from its arrival to its one final response.
+// Forwards requests to endpoints and their final responses to clients.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,13 +17,14 @@
 
 namespace quota_gateway::net {
 
-// Reports to the decision engine what happens to requests and their attempts, and carries out its actions on
-// them. Sees to the deadlines: each request gets exactly one final response in time. Owns the request table.
+// Reports the events of requests and their attempts to the decision engine and executes the engine's actions
+// on them. Enforces the deadlines: each request gets exactly one final response in time. Owns the request
+// table.
 class RequestForwarder {
  public:
-  // The parts of the gateway between which requests are forwarded. They are used from the first event on and
-  // may be constructed after the forwarder.
-  struct Parts {
+  // Modules that the forwarder uses. It does not use them before the first event, so they may be constructed
+  // after it.
+  struct Dependencies {
     boost::asio::io_context& io;
     Timers& timers;
     DecisionLoop& decision_loop;
@@ -32,10 +33,10 @@
     Metrics& metrics;
   };
 
-  RequestForwarder(const Parts& parts, const Settings& settings);
+  RequestForwarder(const Dependencies& dependencies, const Settings& settings);
 
-  // Events of clients. An instant `last_byte_pending_since` is one since which the last bytes of the body may
-  // have been on their way.
+  // Events of clients. `last_byte_pending_since` is the latest time at which the last byte of the body was
+  // certainly not sent yet; the client's timeout is counted from then.
   RequestId on_request(std::uint64_t client, ClientRequest request);
   void on_body_complete(RequestId id, TimePoint last_byte_pending_since);
   void on_body_lagging(RequestId id, TimePoint last_byte_pending_since);
@@ -47,23 +48,24 @@
   void on_response_chunk(AttemptKey key, const std::string& bytes);
   void on_attempt_ended(AttemptKey key, AttemptResult result);
 
-  // Actions of the decision engine. Those on an unknown request have no effect.
+  // Actions of the decision engine. Actions on unknown requests are ignored.
   void send_attempt(const SendAttempt& action);
   void cancel_attempt(const CancelAttempt& action);
   void reject_request(const RejectRequest& action);
   void fail_request(const FailRequest& action);
+  // Called when all actions of a batch have been executed.
   void on_batch_processed() { requests_.erase_finished(); }
 
-  // From now on no request has a deadline after `time`.
+  // Limits the deadlines of all present and future requests to `time`.
   void limit_deadlines(TimePoint time);
 
   [[nodiscard]] bool has_unanswered_requests() const { return requests_.has_unanswered(); }
-  // Requests without a complete final response whose client is still connected.
+  // Returns the number of requests without a complete final response whose client is still connected.
   [[nodiscard]] std::size_t requests_in_progress() const { return requests_in_progress_; }
 
  private:
   [[nodiscard]] TimePoint deadline_of(const RequestRecord& request, TimePoint received_at) const;
-  void start_deadline(RequestRecord& request, TimePoint received_at);
+  void set_deadline(RequestRecord& request, TimePoint received_at);
   void on_deadline(RequestId id);
   void schedule_attempt_timeout(AttemptKey key, TimePoint time);
   void on_attempt_timeout(AttemptKey key);
@@ -85,7 +87,7 @@
   const bool allow_hedging_;
   RequestTable requests_;
   std::size_t requests_in_progress_ = 0;
-  std::optional<TimePoint> latest_deadline_;  // of all requests; none unless the gateway shuts down
+  std::optional<TimePoint> latest_deadline_;  // limit for all requests; std::nullopt before a shutdown
 };
 
 }  // namespace quota_gateway::net
--- a/src/runtime/request_table.hpp
+++ b/src/runtime/request_table.hpp
@@ -1,4 +1,4 @@
-// The requests of one gateway and their attempts.
+// Records of the requests that a gateway handles and of their attempts.
 #pragma once
 
 #include <cstddef>
@@ -16,56 +16,61 @@
 
 enum class ResponseState {
   kPending,   // no final response yet
-  kStreamed,  // the response of an attempt is forwarded in chunks; it has started and may be complete
-  kClosed,    // the final response was sent at once, or the client has disconnected
+  kStreamed,  // an attempt's response has started to be forwarded in chunks; it may be complete
+  kClosed,    // the final response was sent as a whole, or the client has disconnected
 };
 
 struct AttemptRecord {
   std::string endpoint;
-  TimePoint sent_at = 0;  // for an uploaded body: when its last byte came
+  TimePoint sent_at = 0;  // for a streamed request body: when its last byte arrived
   bool in_flight = true;
 };
 
 struct RequestRecord {
   RequestId id = 0;
-  std::uint64_t client = 0;
+  std::uint64_t client = 0;  // ID of the client's connection
   std::string request_class;
-  Duration timeout = 0;    // how long the client waits
-  TimePoint deadline = 0;  // of the final response
+  Duration timeout = 0;    // how long the client waits for the final response
+  TimePoint deadline = 0;  // for the final response
   OutgoingRequest outgoing;
   std::vector<AttemptRecord> attempts;
   int attempts_in_flight = 0;
   bool last_attempt_timed_out = false;
   ResponseState response = ResponseState::kPending;
 
+  // Returns whether the request needs no further response: its final response has been sent or has started,
+  // or the client has disconnected.
   [[nodiscard]] bool is_answered() const { return response != ResponseState::kPending; }
   [[nodiscard]] bool is_streamed() const { return response == ResponseState::kStreamed; }
-  // Whether the body is still being received from the client.
+  // Returns whether the body is still being received from the client.
   [[nodiscard]] bool is_uploading() const;
   [[nodiscard]] AttemptRecord& attempt(int index) { return attempts.at(std::size_t(index)); }
+  // Returns the index of the latest attempt, or -1 if there is none.
   [[nodiscard]] int last_attempt() const { return int(attempts.size()) - 1; }
 };
 
-// Owns the records. A record stays in place until it is erased.
+// Owns the records. References to a record stay valid until it is erased.
 class RequestTable {
  public:
-  // Adds a record under the next identifier.
+  // Adds a record with a new ID.
   RequestRecord& create();
 
-  // Both return null if there is no such request. The second form takes the identifier that the decision
-  // engine uses.
+  // Both return nullptr if there is no such request. The second overload takes the ID in the form that the
+  // decision engine uses.
   [[nodiscard]] RequestRecord* find(RequestId id);
   [[nodiscard]] RequestRecord* find(const std::string& id);
 
-  // Marks a request as finished if it has been answered and has no attempt in flight. It is not erased at
-  // once, as the decision engine may still send an attempt for it in the batch that reports its end, and the
-  // end of that attempt must be reported too.
+  // Marks a request as finished if it is answered and has no attempt in flight. The record is kept until
+  // erase_finished(), because the decision engine may still send an attempt for the request in the batch that
+  // reports its end, and the end of that attempt must be reported too.
   void retire_if_finished(const RequestRecord& request);
-  // Erases the finished requests, once a batch has been processed.
+  // Erases the requests marked as finished that still have no attempt in flight. To be called after each
+  // batch.
   void erase_finished();
 
+  // Returns whether any request is unanswered.
   [[nodiscard]] bool has_unanswered() const;
-  // Identifiers of the requests without a final response whose deadline is after `time`.
+  // Returns the IDs of the unanswered requests whose deadline is after `time`.
   [[nodiscard]] std::vector<RequestId> unanswered_after(TimePoint time) const;
 
  private:
