--- a/tests/runtime/coordinator_test.cpp
+++ b/tests/runtime/coordinator_test.cpp
@@ -1,4 +1,5 @@
-// A complete gateway in one event loop with its clients, endpoints, counter and discovery.
+// Tests a complete gateway that shares an event loop with its clients and with fake endpoints, counter and
+// discovery.
 #include "runtime/coordinator.hpp"
 
 #include <gtest/gtest.h>
@@ -10,42 +11,43 @@
 
 class CoordinatorTest : public ::testing::Test {
  protected:
-  int status(Client& client) {
-    const auto answer = client.receive();
-    return answer ? int(answer->result_int()) : 0;
+  // Returns the status of the next response, or 0 if the connection ends first.
+  int receive_status(Client& client) {
+    const auto response = client.receive();
+    return response ? int(response->result_int()) : 0;
   }
   Rig rig;
-  FakeEndpoint s1{rig.io};
-  FakeEndpoint s2{rig.io};
-  FakeEndpoint s3{rig.io};
-  FakeEndpoint s4{rig.io};
+  FakeEndpoint endpoint1{rig.io};
+  FakeEndpoint endpoint2{rig.io};
+  FakeEndpoint endpoint3{rig.io};
+  FakeEndpoint endpoint4{rig.io};
 };
 
-TEST_F(CoordinatorTest, ForwardsRequestsUnchangedAndReusesTheConnection) {
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+TEST_F(CoordinatorTest, ForwardsRequestsUnchangedAndReusesConnection) {
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   rig.start();
   Client client = rig.client();
   for (int i = 0; i < 3; ++i) {
     client.send(post_request("t" + std::to_string(i)));
-    const auto answer = client.receive();
-    ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->result_int(), 200u);
-    EXPECT_EQ(answer->body(), "/intro-request/00000000b4d65521?x=1");
-    run_for(rig.io, 25);  // a server's connection is used again only once no second answer is due
+    const auto response = client.receive();
+    ASSERT_TRUE(response);
+    EXPECT_EQ(response->result_int(), 200u);
+    EXPECT_EQ(response->body(), "/intro-request/00000000b4d65521?x=1");
+    run_for(rig.io, 25);  // a connection is reused only once no second response is expected on it
   }
-  EXPECT_EQ(s1.requests[2]["X-Trace-Id"], "t2");
-  EXPECT_EQ(s1.requests[2].body(), "hello");
-  EXPECT_EQ(s1.peers.size(), 1u);
+  EXPECT_EQ(endpoint1.requests[2]["X-Trace-Id"], "t2");
+  EXPECT_EQ(endpoint1.requests[2].body(), "hello");
+  EXPECT_EQ(endpoint1.peers.size(), 1u);
 }
 
-TEST_F(CoordinatorTest, AnswersHealthChecks) {
+TEST_F(CoordinatorTest, RespondsToHealthChecks) {
   rig.start();
   Client client = rig.client();
   client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-  EXPECT_EQ(status(client), 200);
+  EXPECT_EQ(receive_status(client), 200);
 }
 
-TEST_F(CoordinatorTest, RejectsMalformedOrOversizedInputAndClosesTheConnection) {
+TEST_F(CoordinatorTest, RejectsInvalidOrOversizedRequestsAndClosesConnection) {
   rig.start();
   const std::string head = "GET /profile-read/00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\n";
   const std::map<std::string, int> inputs = {
@@ -68,56 +70,55 @@
       {"POST /intro-request/00000000b4d65521 HTTP/1.1\r\nX-Trace-Id: t\r\nIdempotency-Key: k\r\n"
        "Content-Length: 70000000\r\n\r\n",
        413}};
-  for (const auto& [input, want] : inputs) {
+  for (const auto& [input, expected_status] : inputs) {
     Client client = rig.client();
     client.send(input);
-    EXPECT_EQ(status(client), want) << input.substr(0, 200);
+    EXPECT_EQ(receive_status(client), expected_status) << input.substr(0, 200);
     EXPECT_TRUE(client.closed_by_peer()) << input.substr(0, 200);
   }
 }
 
-TEST_F(CoordinatorTest, ClosesConnectionsWithoutACompleteRequestAndKeepsIdleClients) {
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+TEST_F(CoordinatorTest, ClosesConnectionsWithoutCompleteRequestButKeepsIdleClients) {
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   rig.start();
-  Client known = rig.client();
+  Client established = rig.client();
   Client silent = rig.client();
   Client partial = rig.client();
-  known.send(get_request("a"));
-  EXPECT_EQ(status(known), 200);
+  established.send(get_request("a"));
+  EXPECT_EQ(receive_status(established), 200);
   partial.send(get_request("b").substr(0, 40));
-  EXPECT_TRUE(silent.closed_by_peer());  // fails after 20 s
+  EXPECT_TRUE(silent.closed_by_peer());  // fails if it stays open for 20 s
   EXPECT_TRUE(partial.closed_by_peer());
-  known.send(get_request("c"));
-  EXPECT_EQ(status(known), 200);
+  established.send(get_request("c"));
+  EXPECT_EQ(receive_status(established), 200);
 }
 
 TEST_F(CoordinatorTest, ReadsFragmentedAndPipelinedRequests) {
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   rig.start();
   Client client = rig.client();
   for (const char byte : post_request("a")) client.send(std::string(1, byte));
-  EXPECT_EQ(status(client), 200);
+  EXPECT_EQ(receive_status(client), 200);
   client.send(get_request("b") + get_request("c"));
-  EXPECT_EQ(status(client), 200);
-  EXPECT_EQ(status(client), 200);
+  EXPECT_EQ(receive_status(client), 200);
+  EXPECT_EQ(receive_status(client), 200);
 }
 
-TEST_F(CoordinatorTest, AnswersBeforeTheDeadlineOfTheClient) {
-  // The endpoint does not respond: the client gets one response before its timeout.
-  s1.on_request = [](Peer&, const HttpRequest&) {};
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+TEST_F(CoordinatorTest, RespondsBeforeClientTimeoutWhenEndpointHangs) {
+  endpoint1.on_request = [](Peer&, const HttpRequest&) {};
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   rig.start();
   Client client = rig.client();
   client.send(post_request("a", "400m"));
-  EXPECT_EQ(status(client), 504);  // may have been executed, so it is not a rejection
-  ASSERT_TRUE(rig.run_until([&] { return s1.peers.at(0)->closed; }));
-  client.send(get_request(
-      "b", "X-Second-Try: 1\r\n"));  // idempotent; the latency objective is as long as the timeout
-  EXPECT_EQ(status(client), 503);
-  EXPECT_EQ(s1.requests.size(), 2u);
+  EXPECT_EQ(receive_status(client), 504);  // not a rejection, as the request may have been executed
+  ASSERT_TRUE(rig.run_until([&] { return endpoint1.peers.at(0)->closed; }));
+  // Idempotent, so it is rejected although it may have been executed. Its deadline is the latency objective.
+  client.send(get_request("b", "X-Second-Try: 1\r\n"));
+  EXPECT_EQ(receive_status(client), 503);
+  EXPECT_EQ(endpoint1.requests.size(), 2u);
 }
 
-TEST_F(CoordinatorTest, ARetryByIdempotencyKeyStaysInItsCell) {
+TEST_F(CoordinatorTest, RetriesByIdempotencyKeyWithinTheSameCell) {
   // A request that may have been executed is retried only on endpoints that share its idempotency key.
   std::vector<std::string> cells;
   const auto serve = [&cells](const std::string& cell) {
@@ -127,244 +128,244 @@
       peer.write(reply("200 OK", "", "x"));
     };
   };
-  s1.on_request = serve("one");
-  s2.on_request = serve("one");
-  s3.on_request = serve("two");
-  s4.on_request = serve("two");
-  rig.add_endpoint(discovered_endpoint("s1", s1, 1));
-  rig.add_endpoint(discovered_endpoint("s2", s2, 1));
-  rig.add_endpoint(discovered_endpoint("s3", s3, 2));
-  rig.add_endpoint(discovered_endpoint("s4", s4, 2));
+  endpoint1.on_request = serve("one");
+  endpoint2.on_request = serve("one");
+  endpoint3.on_request = serve("two");
+  endpoint4.on_request = serve("two");
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1, 1));
+  rig.add_endpoint(discovered_endpoint("s2", endpoint2, 1));
+  rig.add_endpoint(discovered_endpoint("s3", endpoint3, 2));
+  rig.add_endpoint(discovered_endpoint("s4", endpoint4, 2));
   rig.start();
   Client client = rig.client();
   for (int i = 0; i < 4; ++i) {
     client.send(post_request("t" + std::to_string(i)));
-    EXPECT_EQ(status(client), 200);
+    EXPECT_EQ(receive_status(client), 200);
     ASSERT_EQ(cells.size(), std::size_t(2 * i + 2));
     EXPECT_EQ(cells[cells.size() - 1], cells[cells.size() - 2]);
   }
 }
 
-TEST_F(CoordinatorTest, ARequestByIdempotencyKeyFailsWhenItsCellHasNoOtherEndpoint) {
-  int seen = 0;
-  s1.on_request = s2.on_request = [&](Peer& peer, const HttpRequest&) {
-    ++seen;
+TEST_F(CoordinatorTest, FailsRequestWithIdempotencyKeyWhenItsCellHasNoOtherEndpoint) {
+  int attempts = 0;
+  endpoint1.on_request = endpoint2.on_request = [&](Peer& peer, const HttpRequest&) {
+    ++attempts;
     peer.reset();
   };
-  rig.add_endpoint(discovered_endpoint("s1", s1, 1));
-  rig.add_endpoint(discovered_endpoint("s2", s2, 2));
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1, 1));
+  rig.add_endpoint(discovered_endpoint("s2", endpoint2, 2));
   rig.start();
   Client client = rig.client();
   client.send(post_request("a"));
-  EXPECT_EQ(status(client), 502);
-  EXPECT_EQ(seen, 1);
+  EXPECT_EQ(receive_status(client), 502);
+  EXPECT_EQ(attempts, 1);
 }
 
-TEST_F(CoordinatorTest, RetriesAnAttemptThatWasNotExecutedOnAnotherEndpoint) {
+TEST_F(CoordinatorTest, RetriesUnexecutedAttemptOnAnotherEndpoint) {
   int attempts = 0;
   const auto busy = [&](Peer& peer, const HttpRequest&) {
     if (++attempts == 1) return peer.write(reply("503 Full", "X-Never-Ran: 1\r\n"));
     peer.write(reply("200 OK", "", "x"));
   };
-  s1.on_request = busy;
-  s2.on_request = busy;
-  rig.add_endpoint(discovered_endpoint("s1", s1, 1));
-  rig.add_endpoint(discovered_endpoint("s2", s2, 2));
+  endpoint1.on_request = busy;
+  endpoint2.on_request = busy;
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1, 1));
+  rig.add_endpoint(discovered_endpoint("s2", endpoint2, 2));
   rig.start();
   Client client = rig.client();
   client.send(post_request("a"));
-  EXPECT_EQ(status(client), 200);
+  EXPECT_EQ(receive_status(client), 200);
   EXPECT_EQ(attempts, 2);
 }
 
-TEST_F(CoordinatorTest, ADisconnectedClientEndsItsAttempt) {
-  s1.on_request = [](Peer&, const HttpRequest&) {};
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+TEST_F(CoordinatorTest, CancelsAttemptWhenClientDisconnects) {
+  endpoint1.on_request = [](Peer&, const HttpRequest&) {};
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   rig.start();
   {
     Client client = rig.client();
     client.send(get_request("a"));
-    ASSERT_TRUE(rig.run_until([&] { return s1.requests.size() == 1; }));
+    ASSERT_TRUE(rig.run_until([&] { return endpoint1.requests.size() == 1; }));
   }
-  EXPECT_TRUE(rig.run_until([&] { return s1.peers.at(0)->closed; }));
-  s1.on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK", "", "x")); };
+  EXPECT_TRUE(rig.run_until([&] { return endpoint1.peers.at(0)->closed; }));
+  endpoint1.on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK", "", "x")); };
   Client other = rig.client();
   other.send(get_request("b"));
-  EXPECT_EQ(status(other), 200);
+  EXPECT_EQ(receive_status(other), 200);
 }
 
-TEST_F(CoordinatorTest, RejectsBeyondTheQuotaAtOnceWithRetryAfter) {
-  // A rejection carries Retry-After even where the settings do not ask for it.
+TEST_F(CoordinatorTest, RejectsRequestsBeyondQuotaWithRetryAfter) {
+  // A rejection has a Retry-After header even if the settings do not allow it.
   rig.config.settings.allow_retry_after = false;
   rig.config.settings.plans[0].rate = 1;
   rig.config.settings.plans[0].burst = 3;
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   rig.start();
   Client client = rig.client();
-  int rejected = 0;
-  for (int i = 0; i < 10 && rejected == 0; ++i) {
+  int requests_until_rejection = 0;
+  for (int i = 0; i < 10 && requests_until_rejection == 0; ++i) {
     client.send(get_request("t" + std::to_string(i)));
-    const auto answer = client.receive();
-    ASSERT_TRUE(answer);
-    if (answer->result_int() == 200) continue;
-    EXPECT_EQ(answer->result_int(), 429u);
-    EXPECT_GT(std::stod(std::string((*answer)["Retry-After"])), 0);
-    rejected = i + 1;
+    const auto response = client.receive();
+    ASSERT_TRUE(response);
+    if (response->result_int() == 200) continue;
+    EXPECT_EQ(response->result_int(), 429u);
+    EXPECT_GT(std::stod(std::string((*response)["Retry-After"])), 0);
+    requests_until_rejection = i + 1;
   }
-  EXPECT_GT(rejected, 1);
+  EXPECT_GT(requests_until_rejection, 1);
 }
 
-TEST_F(CoordinatorTest, ChargesUnitsBilledWithTheResponseToTheQuota) {
+TEST_F(CoordinatorTest, ChargesBilledUnitsToQuota) {
   rig.config.settings.endpoints_bill_units = true;
   rig.config.settings.plans[0].rate = 1e-6;
-  rig.config.settings.plans[0].burst = 30;  // ten of them at this one of three gateways
-  rig.add_endpoint(discovered_endpoint("s1", s1));
-  s1.on_request = [](Peer& peer, const HttpRequest& request) {
+  rig.config.settings.plans[0].burst = 30;  // over three gateways; the slice of this one is 10
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  endpoint1.on_request = [](Peer& peer, const HttpRequest& request) {
     peer.write(
         reply("200 OK", request["X-Trace-Id"] == "odd" ? "Billed-Units: many\r\n" : "Billed-Units: 4.5\r\n"));
   };
   rig.start();
   Client client = rig.client();
-  for (const auto& [id, want] : {std::pair{"odd", 200}, {"a", 200}, {"b", 200}, {"c", 429}}) {
+  for (const auto& [id, expected_status] : {std::pair{"odd", 200}, {"a", 200}, {"b", 200}, {"c", 429}}) {
     client.send(get_request(id));  // estimated as one unit
-    EXPECT_EQ(status(client), want) << id;
+    EXPECT_EQ(receive_status(client), expected_status) << id;
   }
 }
 
-TEST_F(CoordinatorTest, QueriesTheCounterAndAdmitsRequestsWhenItDoesNotAnswer) {
+TEST_F(CoordinatorTest, IncrementsCounterAndAdmitsRequestsWhenItDoesNotReply) {
   FakeCounter counter(rig.io);
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 30'000;
   rig.config.counter = counter.address();
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   rig.start();
   Client client = rig.client();
   client.send(get_request("a"));
-  EXPECT_EQ(status(client), 200);
+  EXPECT_EQ(receive_status(client), 200);
   ASSERT_TRUE(rig.run_until([&] { return !counter.calls.empty(); }));
   counter.silent = true;
   client.send(get_request("b"));
-  EXPECT_EQ(status(client), 200);
+  EXPECT_EQ(receive_status(client), 200);
   counter.stop();
   client.send(get_request("c"));
-  EXPECT_EQ(status(client), 200);
+  EXPECT_EQ(receive_status(client), 200);
 }
 
-TEST_F(CoordinatorTest, FollowsDiscoveryUpdates) {
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+TEST_F(CoordinatorTest, AppliesDiscoveryUpdates) {
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   rig.start();
   ASSERT_TRUE(rig.run_until([&] { return rig.discovery.requested_targets.size() == 1; }));
-  rig.discovery.send_update(update_json(
-      42, false,
-      endpoint_json("s1", s1.address_text(), "draining") + "," + endpoint_json("s2", s2.address_text())));
+  rig.discovery.send_update(update_json(42, false,
+                                        endpoint_json("s1", endpoint1.address_text(), "draining") + "," +
+                                            endpoint_json("s2", endpoint2.address_text())));
   Client client = rig.client();
-  // Until the update is applied; from then on the draining endpoint gets no request.
-  for (int i = 0; s2.requests.empty() && i < 1000; ++i) {
+  // Sends requests until the update is applied; from then on the draining endpoint gets none.
+  for (int i = 0; endpoint2.requests.empty() && i < 1000; ++i) {
     client.send(get_request("t" + std::to_string(i)));
-    EXPECT_EQ(status(client), 200);
+    EXPECT_EQ(receive_status(client), 200);
   }
-  const auto before = s1.requests.size();
+  const auto requests_before = endpoint1.requests.size();
   for (int i = 0; i < 10; ++i) {
     client.send(get_request("u" + std::to_string(i)));
-    EXPECT_EQ(status(client), 200);
+    EXPECT_EQ(receive_status(client), 200);
   }
-  EXPECT_EQ(s1.requests.size(), before);
+  EXPECT_EQ(endpoint1.requests.size(), requests_before);
 }
 
-TEST_F(CoordinatorTest, DrainFinishesPendingRequestsAndAcceptsNewOnes) {
+TEST_F(CoordinatorTest, DrainCompletesPendingRequestsAndAcceptsNewOnes) {
   std::shared_ptr<Peer> pending;
-  s1.on_request = [&](Peer& peer, const HttpRequest&) {
+  endpoint1.on_request = [&](Peer& peer, const HttpRequest&) {
     if (!pending) {
       pending = peer.shared_from_this();
     } else {
       peer.write(reply("200 OK", "", "x"));
     }
   };
-  s2.on_request = s1.on_request;
+  endpoint2.on_request = endpoint1.on_request;
   rig.config.settings.gateway_count = 1;
-  rig.add_endpoint(discovered_endpoint("s1", s1));
-  rig.add_endpoint(discovered_endpoint("s2", s2));
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s2", endpoint2));
   Coordinator& coordinator = rig.start();
   Client idle = rig.client();
   Client busy = rig.client();
   idle.send("GET /profile-read/nobody HTTP/1.1\r\n\r\n");
-  EXPECT_EQ(status(idle), 400);
+  EXPECT_EQ(receive_status(idle), 400);
   busy.send(get_request("a"));
   ASSERT_TRUE(rig.run_until([&] { return pending != nullptr; }));
-  bool done = false;
-  coordinator.drain([&] { done = true; });
+  bool drained = false;
+  coordinator.drain([&] { drained = true; });
   Client late = rig.client();
   late.send(get_request("b"));
-  const auto answer = late.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 200u);
-  EXPECT_FALSE(answer->keep_alive());
-  EXPECT_FALSE(done);
+  const auto response = late.receive();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 200u);
+  EXPECT_FALSE(response->keep_alive());
+  EXPECT_FALSE(drained);
   pending->write(reply("200 OK", "", "pending"));
-  EXPECT_EQ(status(busy), 200);
+  EXPECT_EQ(receive_status(busy), 200);
   EXPECT_TRUE(busy.closed_by_peer());
-  EXPECT_TRUE(rig.run_until([&] { return done; }));
+  EXPECT_TRUE(rig.run_until([&] { return drained; }));
 }
 
-TEST_F(CoordinatorTest, DrainWaitsForTheSlowRequestOfAConnectedClient) {
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+TEST_F(CoordinatorTest, DrainWaitsForFirstRequestOfConnectedClient) {
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   Coordinator& coordinator = rig.start();
   Client slow = rig.client();
-  bool done = false;
-  bool later = false;
-  ASSERT_TRUE(rig.run_until([&] { return s1.peers.empty(); }));
-  coordinator.drain([&] { done = true; });
+  bool drained = false;
+  bool accept_period_elapsed = false;
+  ASSERT_TRUE(rig.run_until([&] { return endpoint1.peers.empty(); }));
+  coordinator.drain([&] { drained = true; });
   asio::steady_timer timer(rig.io, std::chrono::milliseconds(1200));  // new clients are accepted for 1 s
-  timer.async_wait([&](error_code) { later = true; });
-  ASSERT_TRUE(rig.run_until([&] { return later; }));
-  EXPECT_FALSE(done);
+  timer.async_wait([&](error_code) { accept_period_elapsed = true; });
+  ASSERT_TRUE(rig.run_until([&] { return accept_period_elapsed; }));
+  EXPECT_FALSE(drained);
   slow.send(get_request("a"));
-  EXPECT_EQ(status(slow), 200);
-  EXPECT_TRUE(rig.run_until([&] { return done; }));
+  EXPECT_EQ(receive_status(slow), 200);
+  EXPECT_TRUE(rig.run_until([&] { return drained; }));
 }
 
-TEST_F(CoordinatorTest, DrainAnswersPendingRequestsBeforeTheEarliestKillThoughTheEndpointHangs) {
-  // SIGKILL may come the longest deadline (3 s at most) + 0.7 s after SIGTERM, to a process descheduled for
-  // 0.15 s.
-  s1.on_request = [](Peer&, const HttpRequest&) {};
+TEST_F(CoordinatorTest, DrainRespondsBeforeEarliestKillWhenEndpointHangs) {
+  // SIGKILL may follow SIGTERM after the longest client timeout (3 s at most) plus 0.7 s, and the process may
+  // be descheduled for 0.15 s of that time.
+  endpoint1.on_request = [](Peer&, const HttpRequest&) {};
   rig.config.settings.allow_cancel = false;
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   Coordinator& coordinator = rig.start();
-  Client before = rig.client();
-  Client after = rig.client();
+  Client before_drain = rig.client();
+  Client during_drain = rig.client();
   Client late = rig.client();
-  before.send(post_request("before"));
-  ASSERT_TRUE(rig.run_until([&] { return s1.requests.size() == 1; }));
-  const auto began = std::chrono::steady_clock::now();
+  before_drain.send(post_request("before"));
+  ASSERT_TRUE(rig.run_until([&] { return endpoint1.requests.size() == 1; }));
+  const auto drain_started_at = std::chrono::steady_clock::now();
   coordinator.drain([] {});
-  after.send(post_request("after"));
+  during_drain.send(post_request("after"));
   run_for(rig.io, 1'900);
   late.send(post_request("late"));
-  for (Client* c : {&before, &after, &late}) {
-    EXPECT_GE(status(*c), 429);
-    EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::milliseconds(3'700 - 150));
+  for (Client* client : {&before_drain, &during_drain, &late}) {
+    EXPECT_GE(receive_status(*client), 429);
+    EXPECT_LT(std::chrono::steady_clock::now() - drain_started_at, std::chrono::milliseconds(3'700 - 150));
   }
 }
 
 TEST_F(CoordinatorTest, DrainClosesIdleConnections) {
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   Coordinator& coordinator = rig.start();
   Client client = rig.client();
   client.send(get_request("a"));
-  ASSERT_EQ(status(client), 200);
+  ASSERT_EQ(receive_status(client), 200);
   coordinator.drain([] {});
   EXPECT_TRUE(client.closed_by_peer());
 }
 
-TEST_F(CoordinatorTest, EvictsIdleClientsForNewOnes) {
+TEST_F(CoordinatorTest, EvictsIdleClientsToAcceptNewOnes) {
   rig.config.max_sockets = 64;  // 32 clients
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
   rig.start();
   std::deque<Client> clients;
   for (int i = 0; i < 40; ++i) {
     clients.emplace_back(rig.io, rig.coordinator->address());
     clients.back().send(get_request("t" + std::to_string(i)));
-    EXPECT_EQ(status(clients.back()), 200) << i;
+    EXPECT_EQ(receive_status(clients.back()), 200) << i;
   }
   EXPECT_TRUE(clients.front().closed_by_peer());
 }
--- a/tests/runtime/request_table_test.cpp
+++ b/tests/runtime/request_table_test.cpp
@@ -1,4 +1,4 @@
-// The records of requests: how they are found, and when they are erased.
+// Tests how request records are found and when they are erased.
 #include "runtime/request_table.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-TEST(RequestTable, FindsARequestByNumberAndByText) {
+TEST(RequestTable, FindsRequestByNumericAndTextId) {
   RequestTable table;
   const RequestRecord& request = table.create();
   EXPECT_EQ(table.find(request.id), &request);
@@ -15,16 +15,16 @@
   EXPECT_EQ(table.find("no number"), nullptr);
 }
 
-TEST(RequestTable, ErasesAFinishedRequestOnceItHasNoAttemptInFlight) {
+TEST(RequestTable, ErasesFinishedRequestOnceNoAttemptIsInFlight) {
   RequestTable table;
   RequestRecord& request = table.create();
   const RequestId id = request.id;
   table.retire_if_finished(request);
   table.erase_finished();
-  ASSERT_EQ(table.find(id), &request);  // not answered
+  ASSERT_EQ(table.find(id), &request);  // no final response yet
   request.response = ResponseState::kClosed;
   table.retire_if_finished(request);
-  request.attempts_in_flight = 1;  // sent in the batch that reported the end
+  request.attempts_in_flight = 1;  // sent in the batch that reported the end of the request
   table.erase_finished();
   ASSERT_EQ(table.find(id), &request);
   request.attempts_in_flight = 0;
@@ -33,7 +33,7 @@
   EXPECT_EQ(table.find(id), nullptr);
 }
 
-TEST(RequestTable, ListsUnansweredRequestsWithALaterDeadline) {
+TEST(RequestTable, ListsUnansweredRequestsWithLaterDeadline) {
   RequestTable table;
   RequestRecord& early = table.create();
   early.deadline = 10;
