--- a/src/adapter/action_codec.cpp
+++ b/src/adapter/action_codec.cpp
@@ -1,4 +1,4 @@
-// Writes actions to the simulator's wire.
+// Encodes actions as JSON messages of the simulator's line protocol.
 #include <variant>
 
 #include "adapter/codec.hpp"
@@ -14,9 +14,9 @@
     return {{"what", "Withdraw"}, {"Id", action.id}, {"Go", action.attempt}};
   }
   Json operator()(const RejectRequest& action) const {
-    Json written = {{"what", "Reject"}, {"Id", action.id}};
-    if (action.retry_after > 0) written["StayAwayUs"] = action.retry_after;
-    return written;
+    Json message = {{"what", "Reject"}, {"Id", action.id}};
+    if (action.retry_after > 0) message["StayAwayUs"] = action.retry_after;
+    return message;
   }
   Json operator()(const FailRequest& action) const { return {{"what", "Fail"}, {"Id", action.id}}; }
   Json operator()(const SetTimer& action) const {
--- a/src/adapter/codec.hpp
+++ b/src/adapter/codec.hpp
@@ -1,5 +1,5 @@
-// Translates the JSON wire and the settings to the decision engine's types, and its actions back. The names
-// of the wire stand here and nowhere else.
+// Converts the messages of the simulator's line protocol and the settings between JSON and the types of the
+// decision engine. The field names of the protocol are used only in this directory.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +14,22 @@
 
 namespace quota_gateway::wire {
 
-// Endpoint lists by the number under which the simulator sent them.
+// Endpoint lists by the number that the simulator gave them. DirectoryUpdate messages refer to that number.
 using EndpointLists = std::map<std::int64_t, std::vector<EndpointEntry>>;
 
-// All functions throw ProtocolError or nlohmann::json::exception on a message of the wrong shape.
+// All parse functions throw ProtocolError or nlohmann::json::exception on malformed input.
 
-// Unknown settings are ignored.
+// Returns the settings of a gateway. Missing settings get a default value; unknown settings are ignored.
 Settings parse_settings(const Json& info);
 
+// Returns the entries of an endpoint list.
 std::vector<EndpointEntry> parse_endpoint_entries(const Json& entries);
 
-// No value for an event that means nothing to the decision engine.
+// Returns the event in a message, or std::nullopt if the message type is unknown. `lists` holds the endpoint
+// lists received so far.
 std::optional<Event> parse_event(const Json& message, const EndpointLists& lists);
 
+// Returns the message that requests the action from the simulator.
 Json write_action(const Action& action);
 
 }  // namespace quota_gateway::wire
--- a/src/adapter/event_codec.cpp
+++ b/src/adapter/event_codec.cpp
@@ -1,4 +1,4 @@
-// Reads endpoint lists and events from the simulator's wire.
+// Decodes endpoint lists and events from JSON messages of the simulator's line protocol.
 #include <utility>
 
 #include "adapter/codec.hpp"
@@ -6,30 +6,30 @@
 namespace quota_gateway::wire {
 namespace {
 
-const Vocabulary<Outcome> kOutcomeWords = {
-    {"GOOD", Outcome::kOk},      {"BAD", Outcome::kError},    {"FULL", Outcome::kOverloaded},
-    {"LATE", Outcome::kTimeout}, {"RST", Outcome::kReset},    {"NOCONN", Outcome::kConnectFailed},
-    {"NOP", Outcome::kNotSent},  {"CXL", Outcome::kCancelled}};
-const Vocabulary<CounterOutcome> kCounterOutcomeWords = {{"GOOD", CounterOutcome::kOk},
-                                                         {"FULL", CounterOutcome::kNotAdded},
-                                                         {"NOCONN", CounterOutcome::kNotAdded}};
-const Vocabulary<EndpointState> kEndpointStateWords = {{"draining", EndpointState::kDraining},
-                                                       {"removed", EndpointState::kRemoved}};
-const Vocabulary<EndpointListUpdate::Kind> kListKindWords = {
+const EnumNames<Outcome> kOutcomeNames = {{"GOOD", Outcome::kOk},         {"BAD", Outcome::kError},
+                                          {"FULL", Outcome::kOverloaded}, {"LATE", Outcome::kTimeout},
+                                          {"RST", Outcome::kReset},       {"NOCONN", Outcome::kConnectFailed},
+                                          {"NOP", Outcome::kNotSent},     {"CXL", Outcome::kCancelled}};
+const EnumNames<CounterOutcome> kCounterOutcomeNames = {{"GOOD", CounterOutcome::kOk},
+                                                        {"FULL", CounterOutcome::kNotAdded},
+                                                        {"NOCONN", CounterOutcome::kNotAdded}};
+const EnumNames<EndpointState> kEndpointStateNames = {{"draining", EndpointState::kDraining},
+                                                      {"removed", EndpointState::kRemoved}};
+const EnumNames<EndpointListUpdate::Kind> kListKindNames = {
     {"Partial", EndpointListUpdate::Kind::kPartial},
     {"Complete", EndpointListUpdate::Kind::kComplete},
     {"Persisted", EndpointListUpdate::Kind::kPersisted}};
 
 Outcome parse_outcome(const Json& message) {
-  const auto word = required_field<std::string>(message, "Disposition");
-  const auto entry = kOutcomeWords.find(word);
-  if (entry == kOutcomeWords.end()) throw ProtocolError("unknown outcome " + word);
+  const auto name = required_field<std::string>(message, "Disposition");
+  const auto entry = kOutcomeNames.find(name);
+  if (entry == kOutcomeNames.end()) throw ProtocolError("unknown Disposition " + name);
   return entry->second;
 }
 
 LoadReport parse_load(const Json& message) {
   const Json& feedback = section(message, "Feedback");
-  if (!feedback.is_object()) throw ProtocolError("Feedback is no object");
+  if (!feedback.is_object()) throw ProtocolError("Feedback is not an object");
   LoadReport load;
   load.in_flight = optional_field(feedback, "active", -1.0);
   load.queued = optional_field(feedback, "waiting", -1.0);
@@ -47,7 +47,7 @@
   entry.hardware = optional_field<std::string>(fields, "GenerationHw", "");
   entry.cell = optional_field<std::int64_t>(fields, "Cohort", 0);
   const auto state = optional_field<std::string>(fields, "Mode", "up");
-  entry.state = value_of(state, kEndpointStateWords, EndpointState::kUp);
+  entry.state = enum_value(state, kEndpointStateNames, EndpointState::kUp);
   entry.weight = optional_field(fields, "Heft", 1.0);
   entry.started_at = optional_field<TimePoint>(fields, "ReadyAtUs", 0);
   return entry;
@@ -95,17 +95,17 @@
   event.total = optional_field(message, "Total", 0.0);
   event.duration = optional_field<Duration>(message, "DurationUs", 0);
   const auto outcome = required_field<std::string>(message, "Disposition");
-  event.outcome = value_of(outcome, kCounterOutcomeWords, CounterOutcome::kUnknown);
+  event.outcome = enum_value(outcome, kCounterOutcomeNames, CounterOutcome::kUnknown);
   return event;
 }
 
 EndpointListUpdate parse_endpoint_list_update(const Json& message, const EndpointLists& lists) {
   EndpointListUpdate event;
   const auto kind = required_field<std::string>(message, "Kind");
-  event.kind = value_of(kind, kListKindWords, EndpointListUpdate::Kind::kError);
+  event.kind = enum_value(kind, kListKindNames, EndpointListUpdate::Kind::kError);
   if (event.kind == EndpointListUpdate::Kind::kError) return event;
   const auto list = lists.find(required_field<std::int64_t>(message, "List"));
-  if (list == lists.end()) throw ProtocolError("list update names an unknown list");
+  if (list == lists.end()) throw ProtocolError("DirectoryUpdate refers to an unknown list");
   event.entries = list->second;
   return event;
 }
@@ -122,7 +122,7 @@
 }  // namespace
 
 std::vector<EndpointEntry> parse_endpoint_entries(const Json& entries) {
-  if (!entries.is_array()) throw ProtocolError("Entries is no list");
+  if (!entries.is_array()) throw ProtocolError("Entries is not an array");
   std::vector<EndpointEntry> parsed;
   for (const Json& fields : entries) parsed.push_back(parse_endpoint_entry(fields));
   return parsed;
--- a/src/adapter/json_fields.hpp
+++ b/src/adapter/json_fields.hpp
@@ -1,4 +1,4 @@
-// Typed access to the fields of a JSON object on the wire.
+// Typed access to the fields of JSON objects.
 #pragma once
 
 #include <map>
@@ -10,13 +10,13 @@
 
 using Json = nlohmann::json;
 
-// A message of the wrong shape.
+// Thrown on a message that does not conform to the protocol.
 class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The field `key`, or `fallback` if it is missing or null.
+// Returns the field `key`, or `fallback` if it is missing or null.
 template <typename T>
 T optional_field(const Json& object, const char* key, T fallback) {
   const auto field = object.find(key);
@@ -24,7 +24,7 @@
   return field->get<T>();
 }
 
-// The field `key`; throws ProtocolError if it is missing or null.
+// Returns the field `key`. Throws ProtocolError if it is missing or null.
 template <typename T>
 T required_field(const Json& object, const char* key) {
   const auto field = object.find(key);
@@ -32,22 +32,23 @@
   return field->get<T>();
 }
 
-// The object or list under `key`; an empty object if it is missing or null.
+// Returns the object or array in the field `key`, or an empty object if it is missing or null. Does not check
+// its type.
 inline const Json& section(const Json& object, const char* key) {
   static const Json empty = Json::object();
   const auto field = object.find(key);
   return field == object.end() || field->is_null() ? empty : *field;
 }
 
-// Words of the wire and the values for which they stand.
+// Enumerators by their names in JSON.
 template <typename T>
-using Vocabulary = std::map<std::string, T>;
+using EnumNames = std::map<std::string, T>;
 
-// The value of `word`, or `fallback` for an unknown word.
+// Returns the enumerator called `name`, or `fallback` if there is none.
 template <typename T>
-T value_of(const std::string& word, const Vocabulary<T>& vocabulary, T fallback) {
-  const auto entry = vocabulary.find(word);
-  return entry == vocabulary.end() ? fallback : entry->second;
+T enum_value(const std::string& name, const EnumNames<T>& names, T fallback) {
+  const auto entry = names.find(name);
+  return entry == names.end() ? fallback : entry->second;
 }
 
 }  // namespace quota_gateway::wire
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,4 +1,5 @@
-// The simulator's program: reads one line of input, writes one line of output, until the input ends.
+// The simulator adapter: runs decision engines for the simulator. Reads one JSON message per line from
+// standard input until it ends, and writes each reply as one line to standard output.
 #include <exception>
 #include <iostream>
 #include <string>
--- a/src/adapter/settings_codec.cpp
+++ b/src/adapter/settings_codec.cpp
@@ -1,12 +1,13 @@
-// Reads the settings of a gateway, whose names are the same on the simulator's wire and in the configuration.
+// Decodes the settings of a gateway from JSON. The simulator's line protocol and the configuration file use
+// the same names for them.
 #include "adapter/codec.hpp"
 
 namespace quota_gateway::wire {
 namespace {
 
-const Vocabulary<Idempotency> kIdempotencyWords = {{"safe", Idempotency::kIdempotent},
-                                                   {"keyed", Idempotency::kByKey}};
-const Vocabulary<DedupScope> kDedupScopeWords = {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}};
+const EnumNames<Idempotency> kIdempotencyNames = {{"safe", Idempotency::kIdempotent},
+                                                  {"keyed", Idempotency::kByKey}};
+const EnumNames<DedupScope> kDedupScopeNames = {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}};
 
 ClassSettings parse_class(const Json& fields) {
   ClassSettings parsed;
@@ -16,9 +17,9 @@
   parsed.priority_weight = optional_field(fields, "Importance", parsed.priority_weight);
   parsed.late_weight_fraction = optional_field(fields, "LateValue", parsed.late_weight_fraction);
   const auto idempotency = optional_field<std::string>(fields, "Repeat", "");
-  parsed.idempotency = value_of(idempotency, kIdempotencyWords, Idempotency::kNonIdempotent);
+  parsed.idempotency = enum_value(idempotency, kIdempotencyNames, Idempotency::kNonIdempotent);
   const auto dedup_scope = optional_field<std::string>(fields, "DedupScope", "");
-  parsed.dedup_scope = value_of(dedup_scope, kDedupScopeWords, DedupScope::kCell);
+  parsed.dedup_scope = enum_value(dedup_scope, kDedupScopeNames, DedupScope::kCell);
   parsed.dedup_window = optional_field<Duration>(fields, "WindowUs", 0);
   parsed.streamed = optional_field(fields, "Stream", false);
   return parsed;
@@ -70,7 +71,7 @@
 }  // namespace
 
 Settings parse_settings(const Json& info) {
-  if (!info.is_object()) throw ProtocolError("Info is no object");
+  if (!info.is_object()) throw ProtocolError("the settings are not an object");
   Settings settings;
   settings.zone = optional_field<std::string>(info, "Az", "");
   for (const Json& fields : section(info, "Classes")) settings.classes.push_back(parse_class(fields));
--- a/src/adapter/simulator_host.hpp
+++ b/src/adapter/simulator_host.hpp
@@ -1,4 +1,4 @@
-// The decision engines that one simulator adapter hosts, on the simulator's line protocol.
+// Connects decision engines to the simulator's line protocol.
 #pragma once
 
 #include <map>
@@ -10,19 +10,21 @@
 
 namespace quota_gateway::wire {
 
-// Hosts any number of engines, which share nothing but the endpoint lists of the wire.
+// Hosts one decision engine per simulated gateway. The engines share only the endpoint lists received from
+// the simulator.
 class SimulatorHost {
  public:
-  // Processes one line of input and returns the line to reply with, if any. Throws as the codec does.
+  // Processes one line of input and returns the reply line, or std::nullopt if there is no reply. Throws
+  // ProtocolError or nlohmann::json::exception on malformed input.
   std::optional<std::string> process_line(const std::string& line);
 
  private:
   void store_list(const Json& message);
-  // Passes the events of one engine's part of a batch to it, and returns its actions.
-  std::vector<Action> process_part(TimePoint now, const std::string& name, const Json& messages);
-  void start_engine(const std::string& name, const Json& message);
+  // Processes the part of a batch that is for `gateway`, and returns the actions of its engine.
+  std::vector<Action> process_part(TimePoint now, const std::string& gateway, const Json& messages);
+  void start_engine(const std::string& gateway, const Json& message);
 
-  std::map<std::string, DecisionEngine> engines_;
+  std::map<std::string, DecisionEngine> engines_;  // by the name of the gateway
   EndpointLists lists_;
 };
 
