--- a/src/runtime/configuration.cpp
+++ b/src/runtime/configuration.cpp
@@ -116,9 +116,9 @@
   if (!document.is_object()) throw ConfigError("", "must be an object");
   Configuration configuration;
   configuration.name = required_string(document, "name");
-  configuration.listen = required_endpoint(document, "listen");
-  configuration.discovery = required_endpoint(document, "discovery");
-  configuration.counter = optional_endpoint(document, "counter");
+  configuration.listen_address = required_endpoint(document, "listen");
+  configuration.discovery_address = required_endpoint(document, "discovery");
+  configuration.counter_address = optional_endpoint(document, "counter");
   configuration.admin_address = optional_endpoint(document, "admin_addr");
   if (document.contains("seed")) configuration.seed = parse_seed(required_string(document, "seed"));
   parse_limits(document, configuration);
--- a/src/runtime/configuration.hpp
+++ b/src/runtime/configuration.hpp
@@ -17,9 +17,9 @@
 
 struct Configuration {
   std::string name;
-  boost::asio::ip::tcp::endpoint listen;
-  boost::asio::ip::tcp::endpoint discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> counter;
+  boost::asio::ip::tcp::endpoint listen_address;
+  boost::asio::ip::tcp::endpoint discovery_address;
+  std::optional<boost::asio::ip::tcp::endpoint> counter_address;
   std::optional<boost::asio::ip::tcp::endpoint> admin_address;
   std::optional<int> inherited_listener;  // a socket that the platform has opened
   std::string shared_directory;           // shared with the next process in a hot restart; empty: none
--- a/src/runtime/coordinator.cpp
+++ b/src/runtime/coordinator.cpp
@@ -40,8 +40,8 @@
       disabled_endpoints_(
           timers_, configuration.shared_directory,
           [this](const std::string& endpoint, bool disabled) { on_endpoint_disabled(endpoint, disabled); }),
-      discovery_(io, timers_, clock, configuration.discovery, configuration.initial_endpoints.revision,
-                 settings_.drain_grace,
+      discovery_(io, timers_, clock, configuration.discovery_address,
+                 configuration.initial_endpoints.revision, settings_.drain_grace,
                  [this](const DiscoveryUpdate& update) {
                    using Kind = EndpointListUpdate::Kind;
                    on_endpoint_update(update, update.complete ? Kind::kComplete : Kind::kPartial);
@@ -49,7 +49,7 @@
       client_listener_(io, timers_, clock, settings_, max_clients(configuration), body_budget_,
                        client_callbacks()),
       shutdown_(timers_, client_listener_, forwarder_, max_client_timeout(settings_)) {
-  if (configuration.counter) start_counter(io, configuration);
+  if (configuration.counter_address) start_counter(io, configuration);
   on_endpoint_update(configuration.initial_endpoints, EndpointListUpdate::Kind::kPersisted);
   disabled_endpoints_.start();
   discovery_.start();
@@ -58,7 +58,7 @@
 }
 
 void Coordinator::start_counter(boost::asio::io_context& io, const Configuration& configuration) {
-  counter_.emplace(io, timers_, clock_, *configuration.counter, settings_.counter_timeout,
+  counter_.emplace(io, timers_, clock_, *configuration.counter_address, settings_.counter_timeout,
                    configuration.connect_timeout,
                    [this](const CounterReply& reply) { decision_loop_.push(reply); });
   counter_->start();
@@ -67,7 +67,7 @@
 // Where a predecessor may serve on the same socket, the hot restart says when clients may be accepted.
 void Coordinator::start_listening(const Configuration& configuration) {
   if (!configuration.inherited_listener || configuration.shared_directory.empty()) {
-    client_listener_.listen(configuration.listen, configuration.inherited_listener);
+    client_listener_.listen(configuration.listen_address, configuration.inherited_listener);
     return;
   }
   hot_restart_.emplace(timers_, clock_, configuration.shared_directory, max_client_timeout(settings_),
@@ -122,7 +122,7 @@
 
 HotRestart::Callbacks Coordinator::hot_restart_callbacks(const Configuration& configuration) {
   return {.on_start =
-              [this, address = configuration.listen,
+              [this, address = configuration.listen_address,
                listener = configuration.inherited_listener](const HotRestartState* state) {
                 if (state != nullptr) decision_loop_.push(StateRestored{*state});
                 client_listener_.listen(address, listener);
@@ -228,8 +228,8 @@
 }
 
 void Coordinator::apply_configuration(const Configuration& configuration) {
-  discovery_.reconnect_to(configuration.discovery);
-  if (counter_ && configuration.counter) counter_->reconnect_to(*configuration.counter);
+  discovery_.reconnect_to(configuration.discovery_address);
+  if (counter_ && configuration.counter_address) counter_->reconnect_to(*configuration.counter_address);
 }
 
 void Coordinator::drain(std::function<void()> on_drained) { shutdown_.start(std::move(on_drained)); }
--- a/tests/client/body_transfer_test.cpp
+++ b/tests/client/body_transfer_test.cpp
@@ -373,7 +373,7 @@
   FakeCounter counter(rig.io);
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 1'000'000;
-  rig.config.counter = counter.address();
+  rig.config.counter_address = counter.address();
   rig.config.max_sockets = 64;
   rig.start();
   ASSERT_TRUE(rig.run_until([&] { return rig.discovery.requested_targets.size() == 1; }));
--- a/tests/client/client_disconnect_test.cpp
+++ b/tests/client/client_disconnect_test.cpp
@@ -57,7 +57,7 @@
   counter.silent = true;
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 1'000'000;
-  rig.config.counter = counter.address();
+  rig.config.counter_address = counter.address();
   rig.add_endpoint(discovered_endpoint("s1", s1));
   rig.start();
   {
@@ -202,7 +202,7 @@
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 1'000'000;
   rig.config.settings.plans[0].max_concurrent_attempts = 1;
-  rig.config.counter = counter.address();
+  rig.config.counter_address = counter.address();
   rig.add_endpoint(discovered_endpoint("s1", s1));
   rig.start();
   {
--- a/tests/runtime/configuration_test.cpp
+++ b/tests/runtime/configuration_test.cpp
@@ -19,9 +19,9 @@
 TEST(Configuration, IsReadFromJson) {
   const Configuration configuration = parse_configuration(valid_document());
   EXPECT_EQ(configuration.name, "n0");
-  EXPECT_EQ(configuration.listen.port(), 1);
-  EXPECT_EQ(configuration.discovery.port(), 2);
-  EXPECT_FALSE(configuration.counter);
+  EXPECT_EQ(configuration.listen_address.port(), 1);
+  EXPECT_EQ(configuration.discovery_address.port(), 2);
+  EXPECT_FALSE(configuration.counter_address);
   EXPECT_FALSE(configuration.admin_address);
   EXPECT_EQ(configuration.seed, 255u);
   EXPECT_EQ(configuration.max_sockets, 128u);
--- a/tests/runtime/coordinator_test.cpp
+++ b/tests/runtime/coordinator_test.cpp
@@ -235,7 +235,7 @@
   FakeCounter counter(rig.io);
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 30'000;
-  rig.config.counter = counter.address();
+  rig.config.counter_address = counter.address();
   rig.add_endpoint(discovered_endpoint("s1", s1));
   rig.start();
   Client client = rig.client();
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -299,8 +299,8 @@
  public:
   Rig() : discovery(io) {
     config.name = "n0";
-    config.listen = {asio::ip::address_v4::loopback(), 0};
-    config.discovery = discovery.address();
+    config.listen_address = {asio::ip::address_v4::loopback(), 0};
+    config.discovery_address = discovery.address();
     config.seed = 7;
     Settings& s = config.settings;
     s.zone = "a";
