--- a/src/runtime/clock.cpp
+++ b/src/runtime/clock.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 template <typename StandardClock>
-TimePoint microseconds_of() {
+TimePoint microseconds_since_epoch() {
   const auto since_epoch = StandardClock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count();
 }
 
-TimePoint wall_time() { return microseconds_of<std::chrono::system_clock>(); }
+TimePoint wall_time() { return microseconds_since_epoch<std::chrono::system_clock>(); }
 
-TimePoint steady_time() { return microseconds_of<std::chrono::steady_clock>(); }
+TimePoint steady_time() { return microseconds_since_epoch<std::chrono::steady_clock>(); }
 
 }  // namespace
 
--- a/src/runtime/clock.hpp
+++ b/src/runtime/clock.hpp
@@ -5,12 +5,13 @@
 
 namespace quota_gateway::net {
 
-// Advances with the steady clock, so that spans are of real time however the wall clock is stepped. It equals
-// the wall clock when it is created, unless it continues the clock of another process.
+// Advances with the steady clock, so that a step of the wall clock does not change measured durations. Starts
+// at the current time of the wall clock, unless it continues the clock of another process.
 class Clock {
  public:
   Clock();
-  // Continues the clock of another process on this machine, which has that offset from the steady clock.
+  // Continues the clock of another process on this machine, given the offset of that clock from the
+  // steady clock in microseconds.
   explicit Clock(Duration offset_from_steady);
   Clock(const Clock&) = default;
   Clock& operator=(const Clock&) = default;
@@ -19,8 +20,10 @@
   virtual ~Clock() = default;
 
   [[nodiscard]] virtual TimePoint now() const;
-  // The wall clock, on which endpoints report their start and gateways name the epochs of their counters.
+  // Returns the time of the wall clock, by which endpoints report their start and gateways name the epochs of
+  // their counters.
   [[nodiscard]] virtual TimePoint wall_now() const;
+  // Returns the offset of this clock from the steady clock in microseconds.
   [[nodiscard]] Duration offset_from_steady() const { return offset_from_steady_; }
 
  private:
--- a/src/runtime/configuration.cpp
+++ b/src/runtime/configuration.cpp
@@ -12,7 +12,7 @@
 using boost::asio::ip::tcp;
 using nlohmann::json;
 
-constexpr std::size_t kLeastSockets = 64;
+constexpr std::size_t kMinSockets = 64;
 
 std::string error_message(const std::string& path, const std::string& reason) {
   std::string message = "configuration: ";
@@ -20,11 +20,11 @@
   return message + reason;
 }
 
-// Returns what `read` returns, and reports its failure as a fault of the value at `path`.
-template <typename Read>
-auto read_at(const std::string& path, Read read) {
+// Returns the result of `parse`. Rethrows its exceptions as a ConfigError for the value at `path`.
+template <typename Parse>
+auto parse_value(const std::string& path, Parse parse) {
   try {
-    return read();
+    return parse();
   } catch (const std::exception& error) {
     throw ConfigError(path, error.what());
   }
@@ -42,7 +42,7 @@
 
 tcp::endpoint required_endpoint(const json& document, const char* key) {
   const std::string text = required_string(document, key);
-  return read_at(key, [&] { return parse_endpoint(text); });
+  return parse_value(key, [&] { return parse_endpoint(text); });
 }
 
 std::optional<tcp::endpoint> optional_endpoint(const json& document, const char* key) {
@@ -51,15 +51,16 @@
 }
 
 std::int64_t positive_number(const json& section, const std::string& section_path, const char* key,
-                             std::int64_t fallback) {
+                             std::int64_t default_value) {
   const std::string path = section_path + "." + key;
-  const std::int64_t value = read_at(path, [&] { return section.value(key, fallback); });
+  const std::int64_t value = parse_value(path, [&] { return section.value(key, default_value); });
   if (value <= 0) throw ConfigError(path, "must be above 0");
   return value;
 }
 
+// Returns an empty object if the section is missing.
 json optional_section(const json& document, const std::string& path, const char* key) {
-  return read_at(path, [&] { return document.value(key, json::object()); });
+  return parse_value(path, [&] { return document.value(key, json::object()); });
 }
 
 std::uint64_t parse_seed(const std::string& text) {
@@ -85,19 +86,19 @@
 
 void parse_limits(const json& document, Configuration& configuration) {
   const json limits = optional_section(document, "limits", "limits");
-  const auto positive_limit = [&limits](const char* key, std::size_t fallback) {
-    return std::size_t(positive_number(limits, "limits", key, std::int64_t(fallback)));
+  const auto positive_limit = [&limits](const char* key, std::size_t default_value) {
+    return std::size_t(positive_number(limits, "limits", key, std::int64_t(default_value)));
   };
   configuration.max_sockets = positive_limit("sockets", configuration.max_sockets);
   configuration.memory_mb = positive_limit("memory_mb", configuration.memory_mb);
-  if (configuration.max_sockets < kLeastSockets)
-    throw ConfigError("limits.sockets", "must be at least " + std::to_string(kLeastSockets));
+  if (configuration.max_sockets < kMinSockets)
+    throw ConfigError("limits.sockets", "must be at least " + std::to_string(kMinSockets));
 }
 
 void parse_settings(const json& document, Configuration& configuration) {
   if (!document.contains("settings")) throw ConfigError("settings", "is missing");
   const json& settings = document["settings"];
-  configuration.settings = read_at("settings", [&] { return wire::parse_settings(settings); });
+  configuration.settings = parse_value("settings", [&] { return wire::parse_settings(settings); });
   validate(configuration.settings);
   const std::string path = "settings.Limits";
   const json limits = optional_section(settings, path, "Limits");
@@ -125,7 +126,7 @@
   parse_settings(document, configuration);
   if (is_present(document, "known"))
     configuration.initial_endpoints =
-        read_at("known", [&] { return parse_discovery_update(document["known"]); });
+        parse_value("known", [&] { return parse_discovery_update(document["known"]); });
   return configuration;
 }
 
--- a/src/runtime/configuration_loader.cpp
+++ b/src/runtime/configuration_loader.cpp
@@ -9,7 +9,7 @@
 namespace quota_gateway::net {
 namespace {
 
-// Returns the value of an environment variable; empty if it is not set.
+// Returns the value of an environment variable, or an empty string if it is not set.
 std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
   return value != nullptr ? value : "";
--- a/src/runtime/main.cpp
+++ b/src/runtime/main.cpp
@@ -1,4 +1,4 @@
-// The gateway program: its configuration, its signals and its event loop.
+// The gateway program: loads the configuration, handles signals and runs the event loop.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -16,14 +16,14 @@
 
 using namespace quota_gateway;
 
-// Continues the clock of the predecessor, if this process replaces one.
+// Returns a clock that continues the clock of the predecessor, if this process replaces one.
 net::Clock make_clock(const net::Configuration& configuration) {
   if (!configuration.inherited_listener) return {};
   const auto offset = net::predecessor_clock_offset(configuration.shared_directory);
   return offset ? net::Clock(*offset) : net::Clock();
 }
 
-// Goes on after an exception from a handler, as the other requests must not fail with that one.
+// Continues after a handler throws, so that an error in one handler does not end the other requests.
 void run_event_loop(boost::asio::io_context& io) {
   while (true) {
     try {
@@ -37,7 +37,8 @@
 
 void run_gateway() {
   boost::asio::io_context io(1);
-  // Registered first, as a signal during the start would end the process and the requests it has accepted.
+  // Registered first, because a signal during startup would otherwise terminate the process and drop the
+  // requests that it has accepted.
   boost::asio::signal_set stop_signals(io, SIGTERM, SIGINT);
   boost::asio::signal_set reload_signal(io, SIGHUP);
 
@@ -52,7 +53,7 @@
     coordinator.drain([&io] { io.stop(); });
   });
   net::Reconfiguration reconfiguration(io, reload_signal, coordinator);
-  reconfiguration.wait();
+  reconfiguration.wait_for_signal();
   coordinator.on_listening([&configuration] { std::cerr << configuration.name << ": ready\n"; });
   run_event_loop(io);
 }
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -13,10 +13,10 @@
 }
 
 void Metrics::count_response(const std::string& request_class, int status) {
-  ++responses_with(status)[request_class];
+  ++counts_for_status(status)[request_class];
 }
 
-Metrics::CounterByClass& Metrics::responses_with(int status) {
+Metrics::CountByClass& Metrics::counts_for_status(int status) {
   switch (status) {
     case 200:
       return served_;
--- a/src/runtime/reconfiguration.cpp
+++ b/src/runtime/reconfiguration.cpp
@@ -9,7 +9,7 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr int kMaxTries = 20;
+constexpr int kMaxAttempts = 20;
 constexpr std::chrono::milliseconds kRetryInterval{100};
 
 }  // namespace
@@ -18,32 +18,32 @@
                                  Coordinator& coordinator)
     : reload_signal_(reload_signal), coordinator_(coordinator), retry_timer_(io) {}
 
-void Reconfiguration::wait() {
+void Reconfiguration::wait_for_signal() {
   reload_signal_.async_wait([this](const boost::system::error_code& error, int) {
     if (error) return;
-    reload(kMaxTries);
-    wait();
+    reload(kMaxAttempts);
+    wait_for_signal();
   });
 }
 
-void Reconfiguration::reload(int remaining_tries) {
+void Reconfiguration::reload(int remaining_attempts) {
   retry_timer_.cancel();
   try {
     const Configuration configuration = load_configuration();
     coordinator_.apply_configuration(configuration);
     std::cerr << configuration.name << ": configuration reloaded\n";
   } catch (const std::exception& error) {
-    const bool is_first_try = remaining_tries == kMaxTries;
-    if (is_first_try)
+    const bool is_first_attempt = remaining_attempts == kMaxAttempts;
+    if (is_first_attempt)
       std::cerr << "reconfiguration: the configuration is not applied: " << error.what() << '\n';
-    if (remaining_tries > 1) retry_later(remaining_tries - 1);
+    if (remaining_attempts > 1) retry_later(remaining_attempts - 1);
   }
 }
 
-void Reconfiguration::retry_later(int remaining_tries) {
+void Reconfiguration::retry_later(int remaining_attempts) {
   retry_timer_.expires_after(kRetryInterval);
-  retry_timer_.async_wait([this, remaining_tries](const boost::system::error_code& error) {
-    if (!error) reload(remaining_tries);
+  retry_timer_.async_wait([this, remaining_attempts](const boost::system::error_code& error) {
+    if (!error) reload(remaining_attempts);
   });
 }
 
--- a/src/runtime/reconfiguration.hpp
+++ b/src/runtime/reconfiguration.hpp
@@ -1,4 +1,4 @@
-// Reloading of the configuration while the gateway runs.
+// Reloads the configuration while the gateway runs.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,21 +9,21 @@
 
 namespace quota_gateway::net {
 
-// Applies the configuration at each reload signal (SIGHUP). A configuration that cannot be used changes
-// nothing. It is read again for a while, as the file may be in the middle of a change.
+// Reads and applies the configuration at each reload signal (SIGHUP). A configuration that cannot be used has
+// no effect. The file is then read again for a while, because it may be in the middle of being written.
 class Reconfiguration {
  public:
-  // `reload_signal` exists before the coordinator, so that a signal during the start does not end the
-  // process.
+  // `reload_signal` is registered before the coordinator is created, because a signal during startup would
+  // otherwise terminate the process.
   Reconfiguration(boost::asio::io_context& io, boost::asio::signal_set& reload_signal,
                   Coordinator& coordinator);
 
-  // Waits for the next signal.
-  void wait();
+  // Starts waiting for reload signals.
+  void wait_for_signal();
 
  private:
-  void reload(int remaining_tries);
-  void retry_later(int remaining_tries);
+  void reload(int remaining_attempts);
+  void retry_later(int remaining_attempts);
 
   boost::asio::signal_set& reload_signal_;
   Coordinator& coordinator_;
--- a/src/runtime/resource_limits.cpp
+++ b/src/runtime/resource_limits.cpp
@@ -6,12 +6,13 @@
 namespace {
 
 constexpr std::size_t kBytesPerMegabyte = 1 << 20;
-// Descriptors beside those of clients and endpoints: the admin address, the counter, discovery and files.
+// File descriptors in addition to those of clients and endpoints: the admin address, the counter, discovery
+// and files.
 constexpr std::size_t kReservedDescriptors = 24;
-constexpr double kUpstreamShare = 0.4;  // of the descriptors that are not reserved
+constexpr double kUpstreamDescriptorShare = 0.4;  // of the descriptors that are not reserved
 constexpr std::size_t kMinClients = 16;
-constexpr std::size_t kBytesPerClient = 64 << 10;  // at the most, while buffers are short
-constexpr std::size_t kBodyBufferDivisor = 6;      // of the memory; buffers of the sockets need as much again
+constexpr std::size_t kBytesPerClient = 64 << 10;  // at most, while buffer memory is short
+constexpr std::size_t kBodyBufferDivisor = 6;  // of the memory; the socket buffers need the same amount again
 
 std::size_t memory_bytes(const Configuration& configuration) {
   return configuration.memory_mb * kBytesPerMegabyte;
@@ -20,7 +21,7 @@
 }  // namespace
 
 std::size_t max_upstream_connections(const Configuration& configuration) {
-  return std::size_t(kUpstreamShare * double(configuration.max_sockets - kReservedDescriptors));
+  return std::size_t(kUpstreamDescriptorShare * double(configuration.max_sockets - kReservedDescriptors));
 }
 
 std::size_t max_clients(const Configuration& configuration) {
--- a/src/runtime/resource_limits.hpp
+++ b/src/runtime/resource_limits.hpp
@@ -1,4 +1,4 @@
-// How a gateway divides its descriptors and its memory.
+// Divides the file descriptors and the memory of a gateway between their uses.
 #pragma once
 
 #include <cstddef>
@@ -7,9 +7,11 @@
 
 namespace quota_gateway::net {
 
+// Returns the maximum number of connections to endpoints.
 [[nodiscard]] std::size_t max_upstream_connections(const Configuration& configuration);
+// Returns the maximum number of client connections.
 [[nodiscard]] std::size_t max_clients(const Configuration& configuration);
-// Bytes for all request and response bodies that are buffered at the same time.
+// Returns the memory budget in bytes for all request and response bodies that are buffered at the same time.
 [[nodiscard]] std::size_t body_buffer_bytes(const Configuration& configuration);
 
 }  // namespace quota_gateway::net
--- a/src/runtime/timers.hpp
+++ b/src/runtime/timers.hpp
@@ -13,8 +13,8 @@
 
 namespace quota_gateway::net {
 
-// Runs callbacks at their time, all of them by one timer of the kernel. A callback cannot be cancelled: it
-// checks whether it still matters.
+// Runs callbacks at scheduled times, all of them with one kernel timer. A callback cannot be cancelled: when
+// it runs, it checks whether it is still needed.
 class Timers {
  public:
   using Callback = std::function<void()>;
@@ -31,14 +31,14 @@
     TimePoint due_at = 0;
     std::uint64_t sequence_number = 0;
     Callback callback;
-    // Orders a heap with the earliest entry on top.
+    // Orders the heap so that the earliest entry is on top.
     bool operator<(const Entry& other) const;
   };
 
-  void arm();
-  void run_due();
-  std::vector<Entry> take_due();
-  void run(std::vector<Entry> entries);
+  void arm_timer();
+  void run_due_callbacks();
+  std::vector<Entry> take_due_entries();
+  void run_callbacks(std::vector<Entry> entries);
 
   const Clock& clock_;
   boost::asio::steady_timer timer_;
--- a/tests/runtime/configuration_test.cpp
+++ b/tests/runtime/configuration_test.cpp
@@ -1,4 +1,4 @@
-// The JSON form of the configuration, and the errors that name the faulty value.
+// Tests of parsing the configuration and of the errors for invalid values.
 #include "runtime/configuration.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
     "settings":{"Classes":[{"Name":"read","GiveUpUs":4000000}],"Limits":{"MaxAttempts":2,"ConnIdleUs":5}}})");
 }
 
-TEST(Configuration, IsReadFromJson) {
+TEST(Configuration, IsParsedFromJson) {
   const Configuration configuration = parse_configuration(valid_document());
   EXPECT_EQ(configuration.name, "n0");
   EXPECT_EQ(configuration.listen_address.port(), 1);
@@ -31,13 +31,13 @@
   EXPECT_EQ(max_client_timeout(configuration.settings), 4'000'000);
 }
 
-TEST(Configuration, AnErrorNamesThePathOfTheFaultyValueInOneLine) {
-  struct Fault {
-    const char* pointer;  // to the value that is replaced
+TEST(Configuration, ErrorNamesPathOfInvalidValueInOneLine) {
+  struct InvalidValue {
+    const char* pointer;  // JSON pointer to the value that is replaced
     json value;
-    const char* path;  // that the error names
+    const char* path;  // path that the error names
   };
-  const Fault faults[] = {
+  const InvalidValue invalid_values[] = {
       {"/name", 3, "name"},
       {"/listen", "localhost", "listen"},
       {"/discovery", "127.0.0.1:70000", "discovery"},
@@ -57,14 +57,14 @@
       {"/settings/Limits/DialTimeoutUs", 0, "settings.Limits.DialTimeoutUs"},
       {"/known", json::object(), "known"},
   };
-  for (const Fault& fault : faults) {
+  for (const InvalidValue& invalid_value : invalid_values) {
     json document = valid_document();
-    document[json::json_pointer(fault.pointer)] = fault.value;
+    document[json::json_pointer(invalid_value.pointer)] = invalid_value.value;
     try {
       parse_configuration(document);
-      ADD_FAILURE() << fault.pointer << " is accepted";
+      ADD_FAILURE() << invalid_value.pointer << " is accepted";
     } catch (const ConfigError& error) {
-      EXPECT_EQ(error.path(), fault.path);
+      EXPECT_EQ(error.path(), invalid_value.path);
       const std::string message = error.what();
       EXPECT_EQ(message.rfind("configuration: " + error.path() + ": ", 0), 0u) << message;
       EXPECT_EQ(message.find('\n'), std::string::npos) << message;
