--- a/src/discovery/discovery_protocol.cpp
+++ b/src/discovery/discovery_protocol.cpp
@@ -26,7 +26,7 @@
   entry.endpoint = member.at("id").get<std::string>();
   entry.state = parse_state(member.at("phase").get<std::string>());
   if (entry.state != EndpointState::kRemoved || member.contains("host_port"))
-    endpoint.address = parse_endpoint(member.at("host_port").get<std::string>());
+    endpoint.address = parse_address(member.at("host_port").get<std::string>());
   entry.zone = member.value("locality", "");
   entry.hardware = member.value("flavor", "");
   entry.cell = member.value("cell", std::int64_t{0});
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-tcp::endpoint parse_endpoint(const std::string& text) {
+tcp::endpoint parse_address(const std::string& text) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) throw DiscoveryFormatError("no port in address '" + text + "'");
 
--- a/src/discovery/discovery_protocol.hpp
+++ b/src/discovery/discovery_protocol.hpp
@@ -34,7 +34,7 @@
 };
 
 // Parses an address such as `127.0.0.1:8080`. Throws DiscoveryFormatError.
-boost::asio::ip::tcp::endpoint parse_endpoint(const std::string& text);
+boost::asio::ip::tcp::endpoint parse_address(const std::string& text);
 
 // Throws DiscoveryFormatError or nlohmann::json::exception on a list of the wrong shape.
 DiscoveryUpdate parse_discovery_update(const nlohmann::json& message);
--- a/src/runtime/configuration.cpp
+++ b/src/runtime/configuration.cpp
@@ -42,7 +42,7 @@
 
 tcp::endpoint required_endpoint(const json& document, const char* key) {
   const std::string text = required_string(document, key);
-  return read_at(key, [&] { return parse_endpoint(text); });
+  return read_at(key, [&] { return parse_address(text); });
 }
 
 std::optional<tcp::endpoint> optional_endpoint(const json& document, const char* key) {
--- a/src/runtime/configuration_loader.cpp
+++ b/src/runtime/configuration_loader.cpp
@@ -35,7 +35,7 @@
   const std::string admin_address = environment_variable("RELAY_ADMIN_ADDR");
   if (configuration.admin_address || admin_address.empty()) return configuration;
   try {
-    configuration.admin_address = parse_endpoint(admin_address);
+    configuration.admin_address = parse_address(admin_address);
   } catch (const std::exception& error) {
     throw ConfigError("RELAY_ADMIN_ADDR", error.what());
   }
