--- a/src/counter/counter_client.cpp
+++ b/src/counter/counter_client.cpp
@@ -1,4 +1,4 @@
-// Connecting to the counter, the queue of pending commands, and the supervision of the connection.
+// Connects to the counter, queues commands and supervises the connection.
 #include "counter/counter_client.hpp"
 
 #include <algorithm>
@@ -18,8 +18,8 @@
 using boost::system::error_code;
 
 constexpr Duration kCheckInterval = 100'000;     // us
-constexpr Duration kPingInterval = 2'000'000;    // us; the counter closes connections idle for 10 s or less
-constexpr Duration kSilenceTimeout = 1'500'000;  // us without a reply that is due
+constexpr Duration kPingInterval = 2'000'000;    // us; the counter closes idle connections after 10 s or less
+constexpr Duration kSilenceTimeout = 1'500'000;  // us without a reply to a pending command
 constexpr Duration kMinBackoff = 50'000;         // us
 constexpr Duration kMaxBackoff = 500'000;        // us
 constexpr std::size_t kMaxPendingCommands = 4096;
@@ -27,12 +27,12 @@
 }  // namespace
 
 CounterClient::CounterClient(asio::io_context& io, Timers& timers, const Clock& clock, tcp::endpoint address,
-                             Duration call_timeout, Duration connect_timeout, ReplyCallback on_reply)
+                             Duration command_timeout, Duration connect_timeout, ReplyCallback on_reply)
     : io_(io),
       timers_(timers),
       clock_(clock),
       address_(std::move(address)),
-      call_timeout_(call_timeout),
+      command_timeout_(command_timeout),
       connect_timeout_(connect_timeout),
       on_reply_(std::move(on_reply)),
       socket_(io) {}
@@ -46,7 +46,7 @@
   if (address == address_) return;
   address_ = address;
   backoff_.reset();
-  on_connection_lost("the counter's address has changed");
+  on_connection_lost("the counter's address changed");
 }
 
 void CounterClient::connect() {
@@ -84,12 +84,12 @@
   const bool can_send = state_ != ConnectionState::kDisconnected && commands_.size() < kMaxPendingCommands &&
                         std::isfinite(increment.amount);
   if (!can_send) {
-    asio::post(io_, [this, command] { report_if_due(command, CounterOutcome::kNotAdded); });
+    asio::post(io_, [this, command] { report_outcome(command, CounterOutcome::kNotAdded); });
     return;
   }
   command.bytes = format_increment(increment);
-  timers_.schedule_at(command.created_at + call_timeout_,
-                      [this, sequence = command.sequence] { on_timeout(sequence); });
+  timers_.schedule_at(command.created_at + command_timeout_,
+                      [this, sequence = command.sequence] { on_command_timeout(sequence); });
   commands_.push_back(std::move(command));
   send_queued();
 }
@@ -102,7 +102,7 @@
     send_buffer_ += command.bytes;
     command.bytes.clear();
     command.state = PendingCommand::State::kAwaitingReply;
-    command.stream_end = stream_written_ + send_buffer_.size();
+    command.end_offset = bytes_written_ + send_buffer_.size();
   }
   if (send_buffer_.empty()) return;
   const auto incarnation = incarnation_.current();
@@ -110,7 +110,7 @@
       socket_, send_buffer_, [this, incarnation] { return incarnation_.is_current(incarnation); },
       [this, incarnation](error_code error, std::size_t size) {
         if (!incarnation_.is_current(incarnation)) return;
-        stream_written_ += size;
+        bytes_written_ += size;
         send_buffer_.clear();
         if (error) return on_connection_lost(error.message());
         send_queued();
@@ -139,26 +139,26 @@
   }
 }
 
-// Matches a reply to the oldest command. Throws CounterProtocolError if the connection is of no further use.
+// Matches a reply to the oldest command. Throws CounterProtocolError if the connection must be replaced.
 void CounterClient::on_command_reply(const CommandReply& reply) {
-  if (commands_.empty()) throw CounterProtocolError("reply without a command");
+  if (commands_.empty()) throw CounterProtocolError("unexpected reply");
   const PendingCommand command = std::move(commands_.front());
   commands_.pop_front();
   if (command.kind == PendingCommand::Kind::kPing) return;
   switch (reply.kind) {
     case CommandReply::Kind::kTotal:
-      return report_if_due(command, CounterOutcome::kOk, reply.total);
+      return report_outcome(command, CounterOutcome::kOk, reply.total);
     case CommandReply::Kind::kRejected:
-      return report_if_due(command, CounterOutcome::kNotAdded);
+      return report_outcome(command, CounterOutcome::kNotAdded);
     case CommandReply::Kind::kInvalid:
-      report_if_due(command, CounterOutcome::kUnknown);
-      throw CounterProtocolError("reply without a total");
+      report_outcome(command, CounterOutcome::kUnknown);
+      throw CounterProtocolError("reply is not a total");
   }
 }
 
-// A command that is still queued is dropped, so that it is known not to be added. One that was written stays,
-// because its reply must not be taken for that of the next command.
-void CounterClient::on_timeout(std::uint64_t sequence) {
+// Drops a command that is still queued, so that its increment is certainly not added. Keeps one that was
+// written, so that its late reply is not matched to the next command.
+void CounterClient::on_command_timeout(std::uint64_t sequence) {
   const auto command = std::lower_bound(
       commands_.begin(), commands_.end(), sequence,
       [](const PendingCommand& candidate, std::uint64_t value) { return candidate.sequence < value; });
@@ -166,15 +166,15 @@
   const PendingCommand timed_out = *command;
   if (timed_out.state == PendingCommand::State::kQueued) {
     commands_.erase(command);
-    report_if_due(timed_out, CounterOutcome::kNotAdded);
+    report_outcome(timed_out, CounterOutcome::kNotAdded);
   } else {
     command->state = PendingCommand::State::kTimedOut;
-    report_if_due(timed_out, CounterOutcome::kUnknown);
+    report_outcome(timed_out, CounterOutcome::kUnknown);
   }
 }
 
-// Reports the outcome of an increment, unless its timeout was reported before.
-void CounterClient::report_if_due(const PendingCommand& command, CounterOutcome outcome, double total) {
+// Reports the outcome of an increment, unless its timeout was already reported.
+void CounterClient::report_outcome(const PendingCommand& command, CounterOutcome outcome, double total) {
   if (command.kind == PendingCommand::Kind::kPing) return;
   if (command.state == PendingCommand::State::kTimedOut) return;
   on_reply_({.name = command.counter_name,
@@ -190,45 +190,47 @@
   state_ = ConnectionState::kDisconnected;
   std::deque<PendingCommand> lost_commands;
   lost_commands.swap(commands_);
-  // How much of a write in progress was sent is not known, so all of it counts as sent.
-  const std::size_t stream_sent = stream_written_ + send_buffer_.size();
+  // It is unknown how much of a write in progress was sent, so all of it counts as sent.
+  const std::size_t bytes_sent = bytes_written_ + send_buffer_.size();
   send_buffer_.clear();
-  stream_written_ = 0;
+  bytes_written_ = 0;
 
   const TimePoint now = clock_.now();
   log_.write(now, "connection lost: " + reason);
   timers_.schedule_after(next_reconnect_delay(now), [this, incarnation] {
     if (incarnation_.is_current(incarnation)) connect();
   });
-  fail_commands(lost_commands, stream_sent);
+  fail_commands(lost_commands, bytes_sent);
 }
 
-// Spreads the attempts of gateways that lost the counter at the same time.
+// Returns the delay before the next attempt to connect. The clock serves as jitter, which spreads the
+// attempts of gateways that lost the counter at the same time.
 Duration CounterClient::next_reconnect_delay(TimePoint now) {
   const Duration delay = backoff_.next_delay({.min = kMinBackoff, .max = kMaxBackoff});
   if (delay == 0) return 0;
   return delay * 3 / 4 + now % (delay / 2);
 }
 
-// Reports the commands of a lost connection. One that was not sent whole is known not to be added.
-void CounterClient::fail_commands(const std::deque<PendingCommand>& commands, std::size_t stream_sent) {
+// Reports the outcomes of the commands of a lost connection. The increment of a command that was not fully
+// sent is certainly not added.
+void CounterClient::fail_commands(const std::deque<PendingCommand>& commands, std::size_t bytes_sent) {
   for (const PendingCommand& command : commands) {
-    const bool may_be_added =
-        command.state != PendingCommand::State::kQueued && command.stream_end <= stream_sent;
-    report_if_due(command, may_be_added ? CounterOutcome::kUnknown : CounterOutcome::kNotAdded);
+    const bool may_have_been_added =
+        command.state != PendingCommand::State::kQueued && command.end_offset <= bytes_sent;
+    report_outcome(command, may_have_been_added ? CounterOutcome::kUnknown : CounterOutcome::kNotAdded);
   }
 }
 
-// Runs periodically. Keeps an idle connection open and replaces one that has become silent.
+// Runs periodically. Keeps an idle connection open and replaces one that has fallen silent.
 void CounterClient::check_connection() {
   const TimePoint now = clock_.now();
   if (state_ == ConnectionState::kConnected) {
     if (commands_.empty()) {
       if (now - last_progress_at_ > kPingInterval) send_ping(now);
     } else if (now - std::max(commands_.front().created_at, last_progress_at_) > kSilenceTimeout) {
-      // The counter may keep the closed connection for a while and accepts only 32 of them.
+      // The counter may keep the closed connection open for a while, and accepts at most 32 connections.
       backoff_.set_delay(kMaxBackoff);
-      on_connection_lost("silent");
+      on_connection_lost("timed out waiting for a reply");
     }
   }
   timers_.schedule_after(kCheckInterval, [this] { check_connection(); });
--- a/src/counter/counter_client.hpp
+++ b/src/counter/counter_client.hpp
@@ -1,4 +1,4 @@
-// The client of the quota counter: one connection with pipelined commands, each with its own timeout.
+// The client of the quota counter: sends pipelined commands over one connection, each with its own timeout.
 #pragma once
 
 #include <array>
@@ -20,18 +20,22 @@
 
 namespace quota_gateway::net {
 
-// Sends increments to the counter and reports what became of them. Reconnects by itself.
+// Sends increments to the counter and reports their outcomes. Reconnects automatically.
 class CounterClient {
  public:
   using ReplyCallback = std::function<void(CounterReply)>;
 
+  // An increment without a reply within `command_timeout` microseconds is reported as failed.
+  // `connect_timeout`, in microseconds, limits each attempt to connect.
   CounterClient(boost::asio::io_context& io, Timers& timers, const Clock& clock,
-                boost::asio::ip::tcp::endpoint address, Duration call_timeout, Duration connect_timeout,
+                boost::asio::ip::tcp::endpoint address, Duration command_timeout, Duration connect_timeout,
                 ReplyCallback on_reply);
 
+  // Opens the first connection.
   void start();
 
-  // Continues at another address. Increments in flight to the old one may or may not be added there.
+  // Moves to another address, unless it is the same. Increments in flight to the old address may or may not
+  // be added there.
   void reconnect_to(const boost::asio::ip::tcp::endpoint& address);
 
   // Sends an increment. Exactly one reply is reported for it, never from within this call.
@@ -40,21 +44,21 @@
  private:
   enum class ConnectionState { kDisconnected, kConnecting, kConnected };
 
-  // A command that waits to be written or to be replied to.
+  // A command that is waiting to be written or to receive its reply.
   struct PendingCommand {
     enum class Kind { kIncrement, kPing };
     enum class State {
       kQueued,         // not handed to the socket yet
       kAwaitingReply,  // handed to the socket
-      kTimedOut,       // handed to the socket and reported as failed; its reply will be dropped
+      kTimedOut,       // handed to the socket and reported as unknown; its reply will be dropped
     };
     Kind kind = Kind::kIncrement;
     State state = State::kQueued;
     std::int64_t counter_name = 0;
     TimePoint created_at = 0;
-    std::uint64_t sequence = 0;  // rises by one with each command
-    std::string bytes;           // while it is queued
-    std::size_t stream_end = 0;  // then: the position after its last byte in the connection's stream
+    std::uint64_t sequence = 0;  // increases by one with each command
+    std::string bytes;           // the encoded command; empty once it is handed to the socket
+    std::size_t end_offset = 0;  // bytes sent on the connection up to its end; set once it is handed over
   };
 
   void connect();
@@ -64,9 +68,9 @@
   void on_received(std::size_t size);
   void on_command_reply(const CommandReply& reply);
   void on_connection_lost(const std::string& reason);
-  void on_timeout(std::uint64_t sequence);
-  void fail_commands(const std::deque<PendingCommand>& commands, std::size_t stream_sent);
-  void report_if_due(const PendingCommand& command, CounterOutcome outcome, double total = 0);
+  void on_command_timeout(std::uint64_t sequence);
+  void fail_commands(const std::deque<PendingCommand>& commands, std::size_t bytes_sent);
+  void report_outcome(const PendingCommand& command, CounterOutcome outcome, double total = 0);
   void check_connection();
   void send_ping(TimePoint now);
   Duration next_reconnect_delay(TimePoint now);
@@ -75,7 +79,7 @@
   Timers& timers_;
   const Clock& clock_;
   boost::asio::ip::tcp::endpoint address_;
-  const Duration call_timeout_;
+  const Duration command_timeout_;
   const Duration connect_timeout_;
   ReplyCallback on_reply_;
 
@@ -84,9 +88,9 @@
   ConnectionIncarnation incarnation_;
   std::optional<CounterReplyReader> reply_reader_;
   std::array<char, 4096> receive_buffer_;
-  std::string send_buffer_;              // the write in progress; empty: none
-  std::size_t stream_written_ = 0;       // bytes of this connection's stream before `send_buffer_`
-  std::deque<PendingCommand> commands_;  // in the order of their sequence, in which they are replied to
+  std::string send_buffer_;              // the write in progress; empty if there is none
+  std::size_t bytes_written_ = 0;        // bytes sent on this connection before `send_buffer_`
+  std::deque<PendingCommand> commands_;  // by ascending sequence, the order of the replies
   std::uint64_t last_sequence_ = 0;
   TimePoint last_progress_at_ = 0;
 
--- a/src/counter/counter_protocol.cpp
+++ b/src/counter/counter_protocol.cpp
@@ -1,4 +1,4 @@
-// The formatting of commands and the decoding of replies, both with hiredis.
+// Formats commands and decodes replies with hiredis.
 #include "counter/counter_protocol.hpp"
 
 #include <hiredis/hiredis.h>
@@ -17,7 +17,7 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr std::size_t kMaxReplySize = 64 << 10;  // bytes; far above any valid reply
+constexpr std::size_t kMaxReplySize = 64 << 10;  // bytes; far larger than any valid reply
 constexpr std::size_t kMaxDecimalLength = 400;   // characters; enough for the largest double
 constexpr Duration kMicrosPerMillisecond = 1000;
 constexpr Duration kMinTtl = 1;       // ms
@@ -74,8 +74,8 @@
 
 CounterReplyReader::CounterReplyReader() : reader_(redisReaderCreate()) {
   if (!reader_) throw std::bad_alloc();
-  // A reply that claims to be a list of billions would make the reader allocate it. No command has a list
-  // for its reply, so lists are an error.
+  // The reader would allocate an array of the length that a reply announces, even billions of elements. No
+  // command has an array as its reply, so arrays are rejected.
   reply_functions_ = *reader_->fn;
   reply_functions_.createArray = [](const redisReadTask*, int) -> void* { return nullptr; };
   reader_->fn = &reply_functions_;
--- a/src/counter/counter_protocol.hpp
+++ b/src/counter/counter_protocol.hpp
@@ -14,27 +14,30 @@
 
 namespace quota_gateway::net {
 
-// A reply that leaves the connection unusable.
+// Thrown for a reply after which the connection must be replaced.
 class CounterProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A reply to one command.
+// The reply to one command.
 struct CommandReply {
   enum class Kind {
     kTotal,     // the increment was added
     kRejected,  // the counter is busy or doesn't know the command; nothing was added
-    kInvalid,   // nothing that an increment may be replied to; it may have been added
+    kInvalid,   // not a valid reply to an increment, which may have been added
   };
   Kind kind = Kind::kInvalid;
-  double total = 0;  // after the increment, for kTotal
+  double total = 0;  // the value after the increment, for kTotal
 };
 
+// Returns the command that adds to a counter. The time to live is clamped to between 1 ms and 60 s.
 std::string format_increment(const IncrementCounter& increment);
+
+// Returns the command that keeps an idle connection open.
 std::string format_ping();
 
-// Decodes the replies of one connection, in pieces of any size.
+// Decodes the replies on one connection, which may arrive in pieces of any size.
 class CounterReplyReader {
  public:
   CounterReplyReader();
@@ -47,8 +50,8 @@
   // Adds received bytes. Throws CounterProtocolError.
   void feed(std::string_view bytes);
 
-  // Returns the next reply if it is complete. Throws CounterProtocolError on bytes that are no RESP, and on
-  // an incomplete reply that is longer than any valid one.
+  // Returns the next reply, or std::nullopt if it is not complete yet. Throws CounterProtocolError if the
+  // bytes are not valid RESP, and for an incomplete reply that is longer than any valid one.
   std::optional<CommandReply> next();
 
  private:
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,4 +1,4 @@
-// Connecting to the discovery agent, the supervision of the watch, and its replacement.
+// Connects to the discovery agent, supervises the watch and replaces it when it fails.
 #include "discovery/discovery_client.hpp"
 
 #include <algorithm>
@@ -16,11 +16,12 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// The agent sends a heartbeat every 2 s. The gateway is expected to know an update 6 s after its watch fell
-// silent, so the rest is left for replacing the watch.
+// The agent sends a heartbeat every 2 s. The gateway is expected to know of an update within 6 s after its
+// watch fell silent; the time that remains is for replacing the watch.
 constexpr Duration kSilenceTimeout = 4'500'000;  // us
 
-// Of the drain grace, one part for the delay before a retry and one for the response, with a reserve.
+// The drain grace is split into equal windows: one for the delay before a retry, one for the response, and
+// the others as a reserve.
 constexpr Duration kReconnectWindowsPerGrace = 4;
 constexpr Duration kMaxReconnectWindow = 250'000;     // us; the agent is on the same machine
 constexpr Duration kFirstMessageTimeout = 1'000'000;  // us
@@ -36,12 +37,12 @@
 }  // namespace
 
 DiscoveryClient::DiscoveryClient(asio::io_context& io, Timers& timers, const Clock& clock,
-                                 tcp::endpoint agent, std::int64_t revision, Duration drain_grace,
+                                 tcp::endpoint agent_address, std::int64_t revision, Duration drain_grace,
                                  UpdateCallback on_update)
     : io_(io),
       timers_(timers),
       clock_(clock),
-      agent_(std::move(agent)),
+      agent_address_(std::move(agent_address)),
       revision_(revision),
       reconnect_window_(reconnect_window(drain_grace)),
       on_update_(std::move(on_update)),
@@ -49,22 +50,22 @@
 
 void DiscoveryClient::start() { connect(); }
 
-void DiscoveryClient::reconnect_to(const tcp::endpoint& agent) {
-  if (agent == agent_) return;
-  agent_ = agent;
+void DiscoveryClient::reconnect_to(const tcp::endpoint& agent_address) {
+  if (agent_address == agent_address_) return;
+  agent_address_ = agent_address;
   backoff_.reset();
-  on_connection_lost("the agent's address has changed", reconnect_window_);
+  on_connection_lost("the agent's address changed", reconnect_window_);
 }
 
 void DiscoveryClient::connect() {
   const IncarnationId incarnation = incarnation_.begin();
   restart_progress_timeout();
   first_message_received_ = false;
-  response_.emplace([this](const std::string& object) { on_message(object); });
+  response_reader_.emplace([this](const std::string& object) { on_message(object); });
   socket_ = tcp::socket(io_);
-  socket_.async_connect(agent_, [this, incarnation](error_code error) {
+  socket_.async_connect(agent_address_, [this, incarnation](error_code error) {
     if (!incarnation_.is_current(incarnation)) return;
-    // If this process was suspended while it connected, the agent still gets its full time to respond.
+    // If this process was suspended while it connected, the agent still gets the full time to respond.
     restart_progress_timeout();
     if (error) return on_connection_lost(error.message(), reconnect_window_);
     send_request(incarnation);
@@ -73,7 +74,8 @@
 }
 
 void DiscoveryClient::send_request(IncarnationId incarnation) {
-  request_ = format_watch_request(agent_, needs_complete_list_ ? std::nullopt : std::optional(revision_));
+  request_ =
+      format_watch_request(agent_address_, needs_complete_list_ ? std::nullopt : std::optional(revision_));
   error_code ignored;
   socket_.non_blocking(true, ignored);
   write_all(
@@ -96,16 +98,16 @@
 }
 
 void DiscoveryClient::on_received(std::size_t size) {
-  // Once the watch has begun, only complete messages are heartbeats, so that a stalled one is noticed.
+  // After the first message, only complete messages count as progress, so that a stalled one is detected.
   if (!first_message_received_) last_progress_at_ = clock_.now();
   try {
-    response_->feed(std::string_view(receive_buffer_.data(), size));
-    if (response_->is_done()) on_connection_lost("the agent ended the watch", reconnect_window_);
+    response_reader_->feed(std::string_view(receive_buffer_.data(), size));
+    if (response_reader_->is_done()) on_connection_lost("the agent closed the watch", reconnect_window_);
   } catch (const WatchRejectedError& rejection) {
     needs_complete_list_ = true;
     on_connection_lost(rejection.what(), kMaxRejectedBackoff);
   } catch (const std::exception& error) {
-    // What was not understood may have been an update; only the complete list makes up for it.
+    // The data that could not be parsed may have held an update; only the complete list makes up for it.
     needs_complete_list_ = true;
     on_connection_lost(error.what(), reconnect_window_);
   }
@@ -125,8 +127,9 @@
   on_update_(update);
 }
 
-// An agent may lag behind the one before it. Its older revisions would bring draining endpoints back into
-// use; the changes after the known revision follow once it has caught up.
+// Returns whether `update` is older than the known revision, and logs it if so. An agent may lag behind the
+// previous one. Its older revisions would bring draining endpoints back into use; the changes after the known
+// revision follow once it has caught up.
 bool DiscoveryClient::is_outdated(const DiscoveryUpdate& update) {
   if (update.revision >= revision_) return false;
   log_.write(clock_.now(), "revision " + std::to_string(update.revision) + " is older than " +
@@ -148,7 +151,7 @@
 void DiscoveryClient::check_progress(IncarnationId incarnation) {
   if (!incarnation_.is_current(incarnation)) return;
   const TimePoint deadline = progress_deadline();
-  if (clock_.now() >= deadline) return on_connection_lost("silent", reconnect_window_);
+  if (clock_.now() >= deadline) return on_connection_lost("timed out", reconnect_window_);
   timers_.schedule_at(deadline, [this, incarnation] { check_progress(incarnation); });
 }
 
@@ -156,8 +159,8 @@
   error_code ignored;
   socket_.close(ignored);
   const IncarnationId incarnation = incarnation_.begin();
-  log_.write(clock_.now(),
-             "connection lost: " + reason + "; watching again after revision " + std::to_string(revision_));
+  log_.write(clock_.now(), "connection lost: " + reason + "; resuming the watch after revision " +
+                               std::to_string(revision_));
   const Duration delay = backoff_.next_delay({.min = std::min(kMinBackoff, max_backoff), .max = max_backoff});
   timers_.schedule_after(delay, [this, incarnation] {
     if (incarnation_.is_current(incarnation)) connect();
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -17,22 +17,24 @@
 
 namespace quota_gateway::net {
 
-// One connection to the agent at a time. A connection that fails, is silent or can't be understood is
-// replaced, and the new watch goes on after the last revision.
+// Keeps one connection to the agent at a time. Replaces a connection that fails, falls silent or delivers
+// malformed data. The new watch resumes after the last known revision, or begins with the complete list if an
+// update may have been missed.
 class DiscoveryClient {
  public:
   using UpdateCallback = std::function<void(const DiscoveryUpdate&)>;
 
-  // `revision` is the last one that is known already. `drain_grace` is the time after which the gateway is
-  // expected to have noticed an update; it bounds the time until a lost watch is replaced.
+  // `revision` is the last known revision. `drain_grace` is the time in microseconds within which the gateway
+  // is expected to notice an update; it bounds the time until a lost watch is replaced.
   DiscoveryClient(boost::asio::io_context& io, Timers& timers, const Clock& clock,
-                  boost::asio::ip::tcp::endpoint agent, std::int64_t revision, Duration drain_grace,
+                  boost::asio::ip::tcp::endpoint agent_address, std::int64_t revision, Duration drain_grace,
                   UpdateCallback on_update);
 
+  // Opens the first connection.
   void start();
 
-  // Continues the watch at another address, after the last revision.
-  void reconnect_to(const boost::asio::ip::tcp::endpoint& agent);
+  // Moves the watch to another address of the agent. Does nothing if the address has not changed.
+  void reconnect_to(const boost::asio::ip::tcp::endpoint& agent_address);
 
  private:
   using IncarnationId = ConnectionIncarnation::Id;
@@ -51,20 +53,20 @@
   boost::asio::io_context& io_;
   Timers& timers_;
   const Clock& clock_;
-  boost::asio::ip::tcp::endpoint agent_;
+  boost::asio::ip::tcp::endpoint agent_address_;
   std::int64_t revision_;
-  const Duration reconnect_window_;  // a lost watch is retried, and a request is answered, within this time
+  const Duration reconnect_window_;  // limits the delay before a retry and the wait for data
   UpdateCallback on_update_;
 
   boost::asio::ip::tcp::socket socket_;
   std::array<char, 16384> receive_buffer_;
-  std::string request_;  // must outlive its write
-  std::optional<WatchResponseReader> response_;
+  std::string request_;  // must outlive the write
+  std::optional<WatchResponseReader> response_reader_;
   ConnectionIncarnation incarnation_;
   TimePoint request_started_at_ = 0;
   TimePoint last_progress_at_ = 0;
   bool first_message_received_ = false;  // on this connection
-  bool needs_complete_list_ = false;     // an update may have been missed
+  bool needs_complete_list_ = false;     // because an update may have been missed
 
   ReconnectBackoff backoff_;
   RateLimitedLog log_{"discovery"};
--- a/src/discovery/discovery_protocol.cpp
+++ b/src/discovery/discovery_protocol.cpp
@@ -1,4 +1,4 @@
-// The parsing of addresses and endpoint lists, and the watch request.
+// Parses addresses and endpoint lists, and formats watch requests.
 #include "discovery/discovery_protocol.hpp"
 
 #include <boost/asio/ip/address.hpp>
@@ -39,17 +39,17 @@
 
 tcp::endpoint parse_address(const std::string& text) {
   const auto colon = text.rfind(':');
-  if (colon == std::string::npos) throw DiscoveryFormatError("no port in address '" + text + "'");
+  if (colon == std::string::npos) throw DiscoveryFormatError("missing port in address '" + text + "'");
 
   unsigned port = 0;
   const char* const end = text.data() + text.size();
   const auto [stop, port_error] = std::from_chars(text.data() + colon + 1, end, port);
   if (port_error != std::errc() || stop != end || port > kMaxPort)
-    throw DiscoveryFormatError("bad port in address '" + text + "'");
+    throw DiscoveryFormatError("invalid port in address '" + text + "'");
 
   boost::system::error_code address_error;
   const auto address = boost::asio::ip::make_address(text.substr(0, colon), address_error);
-  if (address_error) throw DiscoveryFormatError("bad address '" + text + "'");
+  if (address_error) throw DiscoveryFormatError("invalid address '" + text + "'");
   return {address, static_cast<unsigned short>(port)};
 }
 
@@ -61,10 +61,11 @@
   return update;
 }
 
-std::string format_watch_request(const tcp::endpoint& agent, std::optional<std::int64_t> after_revision) {
+std::string format_watch_request(const tcp::endpoint& agent_address,
+                                 std::optional<std::int64_t> after_revision) {
   std::string request = "GET /catalog/members?watch=1";
   if (after_revision) request += "&after=" + std::to_string(*after_revision);
-  request += " HTTP/1.1\r\nHost: " + agent.address().to_string() + "\r\n\r\n";
+  request += " HTTP/1.1\r\nHost: " + agent_address.address().to_string() + "\r\n\r\n";
   return request;
 }
 
--- a/src/discovery/discovery_protocol.hpp
+++ b/src/discovery/discovery_protocol.hpp
@@ -1,5 +1,5 @@
 // The wire format of the discovery agent: the request that opens a watch, and the endpoint lists in its
-// response. The names on the wire are mapped to the gateway's own here and nowhere else.
+// response. Names on the wire are mapped to the gateway's own names only here.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,7 +14,7 @@
 
 namespace quota_gateway::net {
 
-// An address or an endpoint list that the gateway can't interpret.
+// Thrown for a malformed address or endpoint list.
 class DiscoveryFormatError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -23,7 +23,7 @@
 // An endpoint as the agent describes it, with its network address.
 struct DiscoveredEndpoint {
   EndpointEntry entry;
-  boost::asio::ip::tcp::endpoint address;  // port 0: not announced
+  boost::asio::ip::tcp::endpoint address;  // port 0 if the agent did not announce it
 };
 
 // One message of a watch.
@@ -33,15 +33,15 @@
   std::vector<DiscoveredEndpoint> endpoints;
 };
 
-// Parses an address such as `127.0.0.1:8080`. Throws DiscoveryFormatError.
+// Parses an IP address with a port, such as `127.0.0.1:8080`. Throws DiscoveryFormatError.
 boost::asio::ip::tcp::endpoint parse_address(const std::string& text);
 
-// Throws DiscoveryFormatError or nlohmann::json::exception on a list of the wrong shape.
+// Parses one message of a watch. Throws DiscoveryFormatError or nlohmann::json::exception if it is malformed.
 DiscoveryUpdate parse_discovery_update(const nlohmann::json& message);
 
 // Returns the HTTP request that opens a watch. The agent begins with the changes after `after_revision`, or
-// with the complete list if there is none.
-std::string format_watch_request(const boost::asio::ip::tcp::endpoint& agent,
+// with the complete list if it is std::nullopt.
+std::string format_watch_request(const boost::asio::ip::tcp::endpoint& agent_address,
                                  std::optional<std::int64_t> after_revision);
 
 }  // namespace quota_gateway::net
--- a/src/discovery/watch_response_reader.cpp
+++ b/src/discovery/watch_response_reader.cpp
@@ -1,4 +1,4 @@
-// The framing of a watch response: HTTP, lines and JSON objects.
+// Decodes a watch response layer by layer: HTTP, lines and JSON objects.
 #include "discovery/watch_response_reader.hpp"
 
 #include <algorithm>
@@ -36,7 +36,7 @@
 
 WatchResponseReader::WatchResponseReader(MessageCallback on_message) : on_message_(std::move(on_message)) {
   parser_.eager(true);
-  parser_.body_limit(boost::none);  // a watch has no end; the size of a message is limited instead
+  parser_.body_limit(boost::none);  // a watch is endless; the size of a message is limited instead
 }
 
 void WatchResponseReader::feed(std::string_view bytes) {
@@ -48,7 +48,7 @@
   body_ += parser_.get().body();
   parser_.get().body().clear();
   process_lines();
-  if (std::max({body_.size(), unparsed_.size(), object_.size()}) > kMaxMessageSize)
+  if (std::max({body_.size(), unparsed_.size(), object_assembler_.size()}) > kMaxMessageSize)
     throw WatchResponseError("message too large");
 }
 
@@ -73,12 +73,12 @@
   body_.erase(0, start);
 }
 
-// A blank line counts as a heartbeat within an object too.
+// A blank line counts as a heartbeat even within an object.
 void WatchResponseReader::process_line(const std::string& line) {
   if (is_blank(line)) {
     on_message_({});
-  } else if (object_.add_line(line)) {
-    on_message_(object_.take_object());
+  } else if (object_assembler_.add_line(line)) {
+    on_message_(object_assembler_.take_object());
   }
 }
 
--- a/src/discovery/watch_response_reader.hpp
+++ b/src/discovery/watch_response_reader.hpp
@@ -1,5 +1,5 @@
-// Reads the response of a watch: an HTTP response without end whose body is a sequence of JSON objects and
-// blank lines. An object takes one line or, if the agent indents it, several.
+// Reads the response to a watch request: an endless HTTP response whose body is a sequence of JSON objects
+// and blank lines. An object takes one line or, if the agent indents it, several.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
@@ -11,40 +11,41 @@
 
 namespace quota_gateway::net {
 
-// A response that is not HTTP, or whose lines or objects have no end.
+// Thrown for a response that is not valid HTTP, or that contains an oversized line or object.
 class WatchResponseError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The agent answered with another status than 200.
+// Thrown for a response with a status other than 200.
 class WatchRejectedError : public WatchResponseError {
  public:
   using WatchResponseError::WatchResponseError;
 };
 
-// Collects the lines of one JSON object until its last bracket is closed.
+// Assembles a JSON object from its lines. The object is complete once all its brackets are closed.
 class JsonObjectAssembler {
  public:
-  // Adds a line without its line feed. Returns true if the object is complete.
+  // Appends a line without its line feed. Returns whether the object is complete.
   bool add_line(const std::string& line);
 
-  // Returns the complete object and begins a new one.
+  // Returns the text of the complete object and begins a new one.
   std::string take_object();
 
+  // Returns the size of the incomplete object in bytes.
   [[nodiscard]] std::size_t size() const { return text_.size(); }
 
  private:
   std::string text_;
-  int depth_ = 0;  // brackets that are open
+  int depth_ = 0;  // number of open brackets
   bool in_string_ = false;
-  bool is_escaped_ = false;  // the last character was the escape character of a string
+  bool is_escaped_ = false;  // the next character follows a backslash in a string
 };
 
-// Decodes the response of one connection, in pieces of any size.
+// Decodes the response on one connection, which may arrive in pieces of any size.
 class WatchResponseReader {
  public:
-  // Gets the text of a JSON object, or an empty text for a blank line, which is a heartbeat.
+  // Receives the text of a JSON object, or an empty string for a blank line, which is a heartbeat.
   using MessageCallback = std::function<void(const std::string& object)>;
 
   explicit WatchResponseReader(MessageCallback on_message);
@@ -63,8 +64,8 @@
   MessageCallback on_message_;
   boost::beast::http::response_parser<boost::beast::http::string_body> parser_;
   std::string unparsed_;  // bytes that the HTTP parser has not consumed yet
-  std::string body_;      // the part of the body that no line feed ends yet
-  JsonObjectAssembler object_;
+  std::string body_;      // the end of the body, which is not a complete line yet
+  JsonObjectAssembler object_assembler_;
 };
 
 }  // namespace quota_gateway::net
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -14,7 +14,7 @@
   DiscoveryClientTest() { client.start(); }
 
   void advance_clock(Duration span) {
-    timers.schedule_after(10'000, [] {});  // so that the timers read the clock soon
+    timers.schedule_after(10'000, [] {});  // makes the timers read the clock soon
     clock.advance(span);
     run_for(io, 50);
   }
@@ -43,7 +43,7 @@
   EXPECT_EQ(endpoint.address.port(), 9);
 }
 
-TEST_F(DiscoveryClientTest, AcceptsALineInPieces) {
+TEST_F(DiscoveryClientTest, AcceptsAFragmentedLine) {
   ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() == 1; }));
   const std::string line = update_json(44, true, endpoint_json("s1", "127.0.0.1:9"));
   const std::string bytes = FakeDiscovery::chunk("\n") + FakeDiscovery::chunk(line.substr(0, 20)) +
@@ -71,7 +71,7 @@
 }
 
 TEST_F(DiscoveryClientTest, RequestsTheCompleteListAfterAMalformedMessage) {
-  // An update may be lost in a line that was not understood.
+  // The malformed message may have held an update.
   agent.first_update = "{\"revision\":\"x\"}\n";
   ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() >= 2; }));
   agent.first_update = update_json(50, true, endpoint_json("s1", "127.0.0.1:9"));
@@ -79,8 +79,8 @@
   EXPECT_EQ(agent.requested_targets.back(), "/catalog/members?watch=1");
 }
 
-TEST_F(DiscoveryClientTest, DetectsSilenceWhileThereIsTimeForANewWatch) {
-  // An update that a silent watch missed has to be known 6 s after the silence began.
+TEST_F(DiscoveryClientTest, DetectsSilenceEarlyEnoughForANewWatch) {
+  // An update that a silent watch missed must be known within 6 s after the silence began.
   ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() == 1; }));
   run_for(io, 20);
   advance_clock(4'500'000);
@@ -100,13 +100,13 @@
   EXPECT_EQ(agent.requested_targets.size(), 2u);
 }
 
-TEST_F(DiscoveryClientTest, RetriesAnAgentThatDoesNotRespondWithinTheDrainGrace) {
+TEST_F(DiscoveryClientTest, RetriesWithinTheDrainGraceIfTheAgentDoesNotRespond) {
   agent.silent = true;
   run_for(io, 400);
   EXPECT_GE(agent.requested_targets.size(), 2u);
 }
 
-TEST_F(DiscoveryClientTest, ReconnectsWithinTheDrainGraceHoweverLongTheAgentWasDown) {
+TEST_F(DiscoveryClientTest, ReconnectsWithinTheDrainGraceAfterALongOutage) {
   agent.first_update = update_json(43, false, "");
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   const auto address = agent.address();
@@ -117,22 +117,22 @@
   EXPECT_GE(restarted_agent.requested_targets.size(), 1u);
 }
 
-TEST_F(DiscoveryClientTest, LeavesTheAgentItsTimeToRespondAfterASuspension) {
+TEST_F(DiscoveryClientTest, GivesTheAgentTheFullTimeToRespondAfterASuspension) {
   // The connection must survive if its completion and its timeout are handled in one turn of the loop.
-  timers.schedule_after(0, [] {});  // so that the timers read the clock at once
+  timers.schedule_after(0, [] {});  // makes the timers read the clock at once
   clock.advance(3'000'000);
   run_for(io, 50);
   EXPECT_EQ(agent.peers.size(), 1u);
   EXPECT_EQ(agent.requested_targets.size(), 1u);
 }
 
-// An update while the watch is silent, where the requests after it meet the given failures before one
-// succeeds. The parameters are the drain grace and the raw responses to these requests.
+// An update that occurs while the watch is silent. The next requests fail in the given ways before one
+// succeeds. The parameters are the drain grace and the raw responses to the failing requests.
 class EndpointUpdateTest : public ::testing::TestWithParam<std::tuple<Duration, std::vector<std::string>>> {
  protected:
-  // Advances the clock in steps until `deadline` or an update. Returns whether there is an update.
+  // Advances the clock in steps until `deadline` or until an update. Returns whether there was an update.
   bool is_updated_by(TimePoint deadline) {
-    timers.schedule_after(1'000, [] {});  // so that the timers read the clock soon
+    timers.schedule_after(1'000, [] {});  // makes the timers read the clock soon
     clock.advance(std::max<Duration>(0, deadline - clock.now() - 1'600'000));
     run_for(io, 3);
     while (updates.empty() && clock.now() < deadline) {
@@ -159,8 +159,8 @@
 const std::string kMalformedMessage = kHeaderOnly + FakeDiscovery::chunk("{\"revision\":\"x\"}\n");
 
 TEST_P(EndpointUpdateTest, IsReceivedWithinSixSecondsOfSilenceDespiteFailedRequests) {
-  const auto& [grace, failures] = GetParam();
-  DiscoveryClient client(io, timers, clock, agent.address(), 41, grace,
+  const auto& [drain_grace, failures] = GetParam();
+  DiscoveryClient client(io, timers, clock, agent.address(), 41, drain_grace,
                          [this](const DiscoveryUpdate& update) { updates.push_back(update); });
   client.start();
   ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() == 1; }));
@@ -172,8 +172,8 @@
 }
 
 TEST_P(EndpointUpdateTest, IsReceivedInTimeFromANewAddressDespiteFailedRequests) {
-  const auto& [grace, failures] = GetParam();
-  DiscoveryClient client(io, timers, clock, agent.address(), 41, grace,
+  const auto& [drain_grace, failures] = GetParam();
+  DiscoveryClient client(io, timers, clock, agent.address(), 41, drain_grace,
                          [this](const DiscoveryUpdate& update) { updates.push_back(update); });
   client.start();
   ASSERT_TRUE(run_until(io, [&] { return agent.requested_targets.size() == 1; }));
@@ -200,7 +200,7 @@
                           std::vector<std::string>{kNoResponse, kMalformedMessage, kStalledMessage})));
 
 TEST_F(DiscoveryClientTest, IgnoresAnOlderRevision) {
-  // An agent that lags behind the one before it must not bring a draining endpoint back into use.
+  // An agent that lags behind the previous one must not bring a draining endpoint back into use.
   agent.first_update = update_json(43, true, endpoint_json("s1", "127.0.0.1:9", "draining"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   FakeDiscovery lagging_agent(io);
@@ -224,7 +224,7 @@
   EXPECT_EQ(agent.requested_targets.size(), 1u);
 }
 
-TEST(DiscoveryProtocolTest, RejectsListsOfTheWrongShape) {
+TEST(DiscoveryProtocolTest, RejectsMalformedLists) {
   for (const char* text :
        {"[]", "{}", R"({"revision":1,"members":[{}]})", R"({"revision":1,"members":[1]})",
         R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"nowhere:1"}]})",
