--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -30,7 +30,7 @@
 
   nlohmann::json metrics() { return nlohmann::json::parse(call("GET", "/-/metrics").body()); }
 
-  Rig rig;
+  GatewayRig rig;
   FakeEndpoint s1{rig.io};
 };
 
--- a/tests/client/body_transfer_test.cpp
+++ b/tests/client/body_transfer_test.cpp
@@ -42,7 +42,7 @@
     asio::async_write(connection.socket, asio::buffer(*buffer),
                       [buffer, self = connection.shared_from_this()](error_code, std::size_t) {});
   }
-  Rig rig;
+  GatewayRig rig;
   FakeEndpoint first_endpoint{rig.io};
 };
 
@@ -397,7 +397,7 @@
   Client client = rig.client();
   client.send(get_request("a"));
   EXPECT_EQ(receive_status(client), 200);
-  EXPECT_FALSE(counter.calls.empty());
+  EXPECT_FALSE(counter.commands.empty());
   FakeEndpoint second_endpoint(rig.io);
   FakeDiscovery restarted_discovery(rig.io, discovery_address);
   restarted_discovery.first_update =
--- a/tests/client/client_disconnect_test.cpp
+++ b/tests/client/client_disconnect_test.cpp
@@ -33,7 +33,7 @@
            "\r\nContent-Length: 100000\r\nQuota-Info: units=1,spread=3,first=0\r\n\r\n";
   }
   void disconnect_during_connect(const std::string& request);
-  Rig rig;
+  GatewayRig rig;
   FakeEndpoint s1{rig.io};
 };
 INSTANTIATE_TEST_SUITE_P(AllowCancel, ClientDisconnectTest, ::testing::Bool());
@@ -63,12 +63,12 @@
   {
     Client client = rig.client();
     client.send(get_request("disconnected"));
-    ASSERT_TRUE(rig.run_until([&] { return counter.calls.size() == 1; }));
+    ASSERT_TRUE(rig.run_until([&] { return counter.commands.size() == 1; }));
   }
   run_for(rig.io, kDisconnectProcessingTime);
   EXPECT_TRUE(s1.requests.empty());
   counter.silent = false;
-  counter.last->write("$1\r\n1\r\n");
+  counter.last_peer->write("$1\r\n1\r\n");
   expect_only_next_request_forwarded(s1);
 }
 
@@ -208,10 +208,11 @@
   {
     Client client = rig.client();
     client.send(get_request("disconnected"));
-    ASSERT_TRUE(rig.run_until([&] { return counter.calls.size() == 1; }));
+    ASSERT_TRUE(rig.run_until([&] { return counter.commands.size() == 1; }));
     while (rig.io.poll() > 0) rig.io.restart();
     rig.io.restart();
-    counter.last->write("$1\r\n1\r\n");  // read in the same iteration of the event loop as the disconnect
+    // Read in the same iteration of the event loop as the disconnect.
+    counter.last_peer->write("$1\r\n1\r\n");
   }
   run_for(rig.io, 50);
   Client next = rig.client();
--- a/tests/client/shutdown_test.cpp
+++ b/tests/client/shutdown_test.cpp
@@ -218,7 +218,7 @@
 }
 
 TEST(ShutdownTest, DrainWaitsUntilClientHasReceivedResponse) {
-  Rig rig;
+  GatewayRig rig;
   FakeEndpoint s1(rig.io);
   std::shared_ptr<Peer> pending_peer;
   s1.on_request = [&](Peer& connection, const HttpRequest&) { pending_peer = connection.shared_from_this(); };
@@ -252,7 +252,7 @@
 }
 
 TEST(ShutdownTest, ExecutesOtherActionsOfBatchWhenOneThrows) {
-  Rig rig;
+  GatewayRig rig;
   rig.start();  // without an endpoint, so the request is queued; writing the log line about it fails before
                 // the timer of the queued request is started
   Client client = rig.client();
@@ -282,7 +282,7 @@
                     text = configuration_json(free_port(io), server, discovery);
   ASSERT_EQ(::mkfifo(fifo_path.c_str(), 0600), 0);
   const int fifo_fd = ::open(fifo_path.c_str(), O_RDWR | O_CLOEXEC);
-  Process process(Process::From{fifo_path});
+  Process process(Process::ConfigurationPath{fifo_path});
   ASSERT_EQ(::write(fifo_fd, text.data(), 10), 10);
   int unread_bytes = 1;
   ASSERT_TRUE(
@@ -298,7 +298,7 @@
 }
 
 TEST(ShutdownTest, DoesNotRetryKeyedRequestWhenLateConnectionWouldExceedDedupWindow) {
-  Rig rig;
+  GatewayRig rig;
   FakeEndpoint s1(rig.io);
   FakeEndpoint s2(rig.io);
   asio::steady_timer reset_timer(rig.io);
--- a/tests/counter/counter_client_test.cpp
+++ b/tests/counter/counter_client_test.cpp
@@ -52,15 +52,15 @@
   EXPECT_EQ(reply.outcome, CounterOutcome::kOk);
   EXPECT_DOUBLE_EQ(reply.total, 1.5);
   EXPECT_EQ(reply.name, 9);
-  EXPECT_EQ(server->calls.at(0), (std::vector<std::string>{"CNT.ADD", "9", "2.5", "4000"}));
+  EXPECT_EQ(server->commands.at(0), (std::vector<std::string>{"CNT.ADD", "9", "2.5", "4000"}));
   EXPECT_EQ(server->peers.size(), 1u);
 }
 
 TEST_F(CounterClientTest, ReportsARejectedIncrementAsNotAdded) {
   start_client();
-  server->answer = "-BUSY later\r\n";
+  server->raw_reply = "-BUSY later\r\n";
   EXPECT_EQ(increment(1).outcome, CounterOutcome::kNotAdded);
-  server->answer = "-ERR no such call\r\n";
+  server->raw_reply = "-ERR no such call\r\n";
   EXPECT_EQ(increment(1).outcome, CounterOutcome::kNotAdded);
 }
 
@@ -78,8 +78,8 @@
   ASSERT_EQ(increment(1).outcome, CounterOutcome::kOk);
   server->silent = true;
   client->increment({1, 1, 4'000'000});
-  ASSERT_TRUE(run_until(io, [&] { return server->calls.size() == 2; }));
-  server->last->reset();
+  ASSERT_TRUE(run_until(io, [&] { return server->commands.size() == 2; }));
+  server->last_peer->reset();
   ASSERT_TRUE(run_until(io, [&] { return replies.size() == 2; }));
   EXPECT_EQ(replies[1].outcome, CounterOutcome::kUnknown);
 }
@@ -92,7 +92,7 @@
   EXPECT_EQ(increment(2).outcome, CounterOutcome::kUnknown);
   server->silent = false;
   client->increment({3, 5, 4'000'000});
-  server->last->write("$3\r\n222\r\n");  // the reply to increment 2, after its timeout
+  server->last_peer->write("$3\r\n222\r\n");  // the reply to increment 2, after its timeout
   ASSERT_TRUE(run_until(io, [&] { return replies.size() == 3; }));
   EXPECT_EQ(replies[2].name, 3);
   // Any other outcome means that the test process was suspended for a call timeout.
@@ -131,8 +131,8 @@
   EXPECT_EQ(increment(7).outcome, CounterOutcome::kOk);
   client->reconnect_to(new_server.address());
   EXPECT_TRUE(reconnects());
-  EXPECT_EQ(server->calls.size(), 1u);
-  EXPECT_EQ(new_server.calls.size(), 1u);
+  EXPECT_EQ(server->commands.size(), 1u);
+  EXPECT_EQ(new_server.commands.size(), 1u);
 }
 
 TEST_F(CounterClientTest, ReplacesAConnectionAfterAReplyWithoutATotal) {
@@ -141,9 +141,9 @@
     start_client();
     ASSERT_TRUE(reconnects());
     const auto before = server->peers.size();
-    server->answer = bytes;
+    server->raw_reply = bytes;
     EXPECT_EQ(increment(1).outcome, CounterOutcome::kUnknown) << bytes;
-    server->answer.reset();
+    server->raw_reply.reset();
     EXPECT_TRUE(reconnects()) << bytes;
     EXPECT_EQ(server->peers.size(), before + 1) << bytes;
   }
@@ -156,10 +156,10 @@
                             "+OK\r\n", "*2147483647\r\n", "*2\r\n:1\r\n:2\r\n", "$99999999999\r\n",
                             "nonsense\r\n", "$3\r\n1.5\r\n$3\r\n1.5\r\n"}) {
     ASSERT_TRUE(reconnects()) << bytes;
-    server->answer = bytes;
+    server->raw_reply = bytes;
     const auto outcome = increment(1).outcome;
     EXPECT_TRUE(outcome == CounterOutcome::kUnknown || std::string(bytes).substr(4, 3) == "1.5") << bytes;
-    server->answer.reset();
+    server->raw_reply.reset();
   }
   EXPECT_TRUE(reconnects());
 }
--- a/tests/decision/concurrency_limit_test.cpp
+++ b/tests/decision/concurrency_limit_test.cpp
@@ -17,7 +17,7 @@
   for (int i = 0; i < 200; ++i)
     sent += actions_of<SendAttempt>(engine.arrive(kMillisecond, numbered("r", i))).size();
   EXPECT_LE(sent, 8u);  // five per endpoint, shared by two gateways
-  auto actions = engine.run(2 * kSecond);
+  auto actions = engine.run_until(2 * kSecond);
   EXPECT_EQ(actions_of<RejectRequest>(actions).size() + sent + actions_of<CancelAttempt>(actions).size(),
             200u + actions_of<CancelAttempt>(actions).size());
 }
@@ -39,13 +39,13 @@
   };
   for (int i = 1; i <= steps; ++i) {
     const TimePoint now = kSecond + i * 10 * kMillisecond;  // the endpoints were idle before
-    record_sent(now, engine.run(now));
+    record_sent(now, engine.run_until(now));
     std::vector<AttemptInFlight> due;
     for (const AttemptInFlight& entry : in_flight)
       if (entry.ends_at <= now) due.push_back(entry);
     std::erase_if(in_flight, [&](const AttemptInFlight& entry) { return entry.ends_at <= now; });
     for (const AttemptInFlight& entry : due)
-      record_sent(now, engine.end(now, entry.attempt, Outcome::kOk, 0, now - entry.sent_at));
+      record_sent(now, engine.end_attempt(now, entry.attempt, Outcome::kOk, 0, now - entry.sent_at));
     for (int k = 0; k < 8; ++k) record_sent(now, engine.arrive(now, numbered("m", i) + numbered("-", k)));
     if (i > steps * 9 / 10) peak = std::max(peak, int(in_flight.size()));
   }
@@ -84,10 +84,10 @@
   // Small requests take as long as large ones, so the ratio of actual to expected latency averages above one.
   TimePoint now = kSecond;
   for (int i = 0; i < 400; ++i, now += 50 * kMillisecond) {
-    engine.run(now);
+    engine.run_until(now);
     for (const SendAttempt& attempt :
          actions_of<SendAttempt>(engine.arrive(now, numbered("r", i), i % 2 ? 1 : 3)))
-      engine.end(now + 40 * kMillisecond, attempt, Outcome::kOk, 0, 40 * kMillisecond);
+      engine.end_attempt(now + 40 * kMillisecond, attempt, Outcome::kOk, 0, 40 * kMillisecond);
   }
   std::size_t sent = 0;
   for (int i = 0; i < 40; ++i)
@@ -107,8 +107,8 @@
       if (sent.empty()) break;
       const bool is_overloaded = sent[0].endpoint != "c";  // a and b are overloaded for this plan
       served += !is_overloaded;
-      actions = engine.end(i * 50 * kMillisecond + 1 + attempt_number, sent[0],
-                           is_overloaded ? Outcome::kOverloaded : Outcome::kOk, attempt_number);
+      actions = engine.end_attempt(i * 50 * kMillisecond + 1 + attempt_number, sent[0],
+                                   is_overloaded ? Outcome::kOverloaded : Outcome::kOk, attempt_number);
     }
   }
   EXPECT_EQ(served, 100);
@@ -126,7 +126,7 @@
     // Every second response is processed one second late but reports a duration of 10 ms.
     for (const SendAttempt& attempt : attempts) {
       if (k % 2) now += kSecond;
-      engine.end(now, attempt, Outcome::kOk, 0, 10 * kMillisecond);
+      engine.end_attempt(now, attempt, Outcome::kOk, 0, 10 * kMillisecond);
     }
   }
   EXPECT_EQ(sent, 200u);
--- a/tests/decision/counter_pacer_test.cpp
+++ b/tests/decision/counter_pacer_test.cpp
@@ -47,7 +47,7 @@
   std::size_t calls = 0, succeeded = 0, timed_out = 0;
   const auto handle_actions = [&](TimePoint now, int gateway, const std::vector<Action>& actions) {
     for (const SendAttempt& attempt : actions_of<SendAttempt>(actions))
-      engines[std::size_t(gateway)].end(now, attempt, Outcome::kOk);
+      engines[std::size_t(gateway)].end_attempt(now, attempt, Outcome::kOk);
     for (const IncrementCounter& call : actions_of<IncrementCounter>(actions)) {
       CounterReply reply;
       reply.name = call.name;
@@ -74,7 +74,7 @@
       replies.erase(replies.begin());
       handle_actions(now, gateway, engines[std::size_t(gateway)].step(now, {reply}));
     }
-    for (int g = 0; g < kGateways; ++g) handle_actions(now, g, engines[std::size_t(g)].run(now));
+    for (int g = 0; g < kGateways; ++g) handle_actions(now, g, engines[std::size_t(g)].run_until(now));
     for (; requests < now * kGateways * kGatewayRequestRate / kSecond; ++requests) {
       RequestArrived request = EngineHarness::request(numbered("r", requests), now);
       request.customer = numbered("c", requests);
--- a/tests/decision/counter_sync_test.cpp
+++ b/tests/decision/counter_sync_test.cpp
@@ -11,8 +11,8 @@
 
 TEST(CounterSync, MakesNoCallsWithoutDemand) {
   EngineHarness engine(settings_with_counter());
-  engine.run(5 * kSecond);
-  EXPECT_TRUE(actions_of<IncrementCounter>(engine.log()).empty());
+  engine.run_until(5 * kSecond);
+  EXPECT_TRUE(actions_of<IncrementCounter>(engine.all_actions()).empty());
 }
 
 TEST(CounterSync, DelaysFirstRequestUntilTotalOrTimeout) {
@@ -24,7 +24,7 @@
   EXPECT_LE(calls[0].ttl, 60 * kSecond);
   EXPECT_TRUE(actions_of<SendAttempt>(actions).empty());
   // No reply has arrived by the timeout.
-  EXPECT_EQ(actions_of<SendAttempt>(engine.run(160 * kMillisecond)).size(), 1u);
+  EXPECT_EQ(actions_of<SendAttempt>(engine.run_until(160 * kMillisecond)).size(), 1u);
 }
 
 TEST(CounterSync, DelaysRequestWhenLastTotalIsStale) {
@@ -35,10 +35,10 @@
             1u);
   // The total is still recent.
   EXPECT_EQ(actions_of<SendAttempt>(engine.arrive(2 * kSecond, "soon")).size(), 1u);
-  engine.run(29 * kSecond);
+  engine.run_until(29 * kSecond);
   EXPECT_TRUE(actions_of<SendAttempt>(engine.arrive(30 * kSecond, "late")).empty());
   // No reply has arrived by the timeout.
-  EXPECT_EQ(actions_of<SendAttempt>(engine.run(30 * kSecond + 60 * kMillisecond)).size(), 1u);
+  EXPECT_EQ(actions_of<SendAttempt>(engine.run_until(30 * kSecond + 60 * kMillisecond)).size(), 1u);
 }
 
 TEST(CounterSync, RejectsRequestAtDeadlineWithoutWaitingForTotal) {
@@ -61,7 +61,7 @@
     return calls.size();
   };
   EXPECT_EQ(send_request(21 * kSecond / 2, "known"), 1u);
-  engine.run(12 * kSecond - 1);
+  engine.run_until(12 * kSecond - 1);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(send_request(12 * kSecond + i, numbered("new", i)), 1u) << i;
   // The total of this customer is recent, and only one call is left in the bucket.
   EXPECT_EQ(send_request(12 * kSecond + 3, "known"), 0u);
@@ -86,7 +86,7 @@
     EngineHarness& engine = engines[std::size_t(i * 7 % settings.gateway_count)];
     RequestArrived request = EngineHarness::request(numbered("r", i), now);
     request.gateway_set_size = settings.gateway_count;
-    auto actions = engine.run(now);
+    auto actions = engine.run_until(now);
     const auto request_actions = engine.step(now, {request});
     append(actions, request_actions);
     for (std::size_t k = 0; k < actions.size(); ++k) {
@@ -95,7 +95,7 @@
         append(actions, reply_actions);
       } else if (const auto* attempt = std::get_if<SendAttempt>(&actions[k])) {
         if (i >= kRequestRate * kWarmupSeconds) ++admitted;
-        engine.end(now, SendAttempt(*attempt), Outcome::kOk);
+        engine.end_attempt(now, SendAttempt(*attempt), Outcome::kOk);
       }
     }
   }
@@ -134,7 +134,7 @@
     SharedCounter counter;
     int requests = 0, admitted = 0;
     for (TimePoint now = kSecond; now < 40 * kSecond; now += 250 * kMillisecond) {
-      std::vector<Action> actions = engine.run(now);
+      std::vector<Action> actions = engine.run_until(now);
       if (now == 10 * kSecond) engine.step(now, {WallClockStepped{step}});
       const auto request_actions = engine.arrive(now, numbered("r", now), 2);
       append(actions, request_actions);
@@ -147,7 +147,7 @@
       ++requests;
       for (const SendAttempt& attempt : actions_of<SendAttempt>(actions)) {
         ++admitted;
-        engine.end(now, attempt, Outcome::kOk);
+        engine.end_attempt(now, attempt, Outcome::kOk);
       }
     }
     EXPECT_GT(admitted, requests * 9 / 10) << step;
--- a/tests/decision/decision_engine_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -15,14 +15,14 @@
 TEST(DecisionEngine, IgnoresEventsOfFinishedRequests) {
   EngineHarness engine;
   auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
-  engine.end(2 * kMillisecond, sent.at(0), Outcome::kOk);
-  auto out = engine.end(3 * kMillisecond, sent[0], Outcome::kTimeout);
+  engine.end_attempt(2 * kMillisecond, sent.at(0), Outcome::kOk);
+  auto out = engine.end_attempt(3 * kMillisecond, sent[0], Outcome::kTimeout);
   EXPECT_TRUE(actions_of<SendAttempt>(out).empty());
   EXPECT_TRUE(
       engine
           .step(4 * kMillisecond, {RequestCancelled{"r"}, RequestCancelled{"never seen"}, TimerFired{987654}})
           .empty());
-  auto late = engine.run(2 * kSecond);
+  auto late = engine.run_until(2 * kSecond);
   EXPECT_TRUE(actions_of<SendAttempt>(late).empty());
   EXPECT_TRUE(actions_of<RejectRequest>(late).empty());
 }
@@ -53,7 +53,7 @@
   auto after_end =
       engine.step(kSecond + kMillisecond, {ended, CounterReply{}, ProbeEnded{}, EndpointListUpdate{}});
   append(out, after_end);
-  auto remaining = engine.run(4 * kSecond);
+  auto remaining = engine.run_until(4 * kSecond);
   append(out, remaining);
   std::map<std::string, int> final_responses;
   for (const RejectRequest& rejection : actions_of<RejectRequest>(out)) ++final_responses[rejection.id];
@@ -76,7 +76,7 @@
   ASSERT_EQ(actions_of<SendAttempt>(engine.step(kMillisecond, {usual})).size(), 1u);
   // Without a response, a few slowness checks are scheduled until its deadline, in addition to the timer of
   // each maintenance period.
-  EXPECT_LT(actions_of<SetTimer>(engine.run(500 * kMillisecond)).size(), 20u);
+  EXPECT_LT(actions_of<SetTimer>(engine.run_until(500 * kMillisecond)).size(), 20u);
 }
 
 TEST(DecisionEngine, SupportsAThousandGatewaysAndEndpoints) {
@@ -103,8 +103,8 @@
     const auto sent = actions_of<SendAttempt>(engine.step(now, {counter.increment(call)}));
     ASSERT_EQ(sent.size(), 1u) << i;
     used_endpoints.insert(sent[0].endpoint);
-    engine.end(now, sent[0], Outcome::kOk);
-    engine.run(now + kSecond / 2);
+    engine.end_attempt(now, sent[0], Outcome::kOk);
+    engine.run_until(now + kSecond / 2);
   }
   EXPECT_EQ(counter_names.size(), 2u * kFleetSize);
   EXPECT_GT(used_endpoints.size(), 500u);  // independent random picks would reach about 880
@@ -126,8 +126,8 @@
   TimePoint now = kSecond;
   for (int i = 0; i < 1000; ++i, now += 30 * kMillisecond) {
     for (const SendAttempt& attempt : actions_of<SendAttempt>(engine.arrive(now, numbered("r", i))))
-      engine.end(now + 10 * kMillisecond, attempt, Outcome::kOk, 0, 10 * kMillisecond);
-    engine.run(now + 20 * kMillisecond);
+      engine.end_attempt(now + 10 * kMillisecond, attempt, Outcome::kOk, 0, 10 * kMillisecond);
+    engine.run_until(now + 20 * kMillisecond);
   }
   return double(std::clock() - started_at) / CLOCKS_PER_SEC;
 }
@@ -151,9 +151,9 @@
   auto run_scenario = [] {
     EngineHarness engine;
     for (int i = 0; i < 50; ++i) engine.burst(i * 30 * kMillisecond, 3);
-    engine.run(3 * kSecond);
+    engine.run_until(3 * kSecond);
     std::vector<std::string> out;
-    for (const SendAttempt& attempt : actions_of<SendAttempt>(engine.log()))
+    for (const SendAttempt& attempt : actions_of<SendAttempt>(engine.all_actions()))
       out.push_back(attempt.id + attempt.endpoint);
     return out;
   };
--- a/tests/decision/endpoint_picker_test.cpp
+++ b/tests/decision/endpoint_picker_test.cpp
@@ -49,7 +49,7 @@
     const TimePoint now = i * 200 * kMillisecond;
     for (const SendAttempt& attempt : actions_of<SendAttempt>(engine.arrive(now, numbered("r", i)))) {
       used.insert(attempt.endpoint);
-      engine.end(now + 20 * kMillisecond, attempt, Outcome::kOk, 0, 20 * kMillisecond);
+      engine.end_attempt(now + 20 * kMillisecond, attempt, Outcome::kOk, 0, 20 * kMillisecond);
     }
   }
   EXPECT_LE(used.size(), 16u);  // of 24; picks that ignore connections would reach all of them
@@ -72,7 +72,7 @@
       const auto last = last_used_at.find(attempt.endpoint);
       if (i >= 80) ++attempts, connected += last != last_used_at.end() && now - last->second < 5 * kSecond;
       last_used_at[attempt.endpoint] = now;
-      engine.end(now + 100 * kMillisecond, attempt, Outcome::kOk, 0, 100 * kMillisecond);
+      engine.end_attempt(now + 100 * kMillisecond, attempt, Outcome::kOk, 0, 100 * kMillisecond);
     }
   }
   EXPECT_GT(connected, attempts * 3 / 4);
--- a/tests/decision/endpoint_pool_test.cpp
+++ b/tests/decision/endpoint_pool_test.cpp
@@ -39,7 +39,7 @@
 TEST(EndpointPool, RejectsRequestInTimeWhenListIsEmpty) {
   EngineHarness engine(basic_settings(), {});
   auto actions = engine.arrive(kMillisecond, "r");
-  auto later_actions = engine.run(2 * kSecond);
+  auto later_actions = engine.run_until(2 * kSecond);
   append(actions, later_actions);
   EXPECT_EQ(actions_of<RejectRequest>(actions).size(), 1u);
   EXPECT_TRUE(actions_of<FailRequest>(actions).empty());
--- a/tests/decision/outlier_ejection_test.cpp
+++ b/tests/decision/outlier_ejection_test.cpp
@@ -18,8 +18,9 @@
       auto sent = actions_of<SendAttempt>(actions);
       if (sent.empty()) break;
       if (i >= 20) endpoints_used.insert(sent[0].endpoint);
-      actions = engine.end(i * 20 * kMillisecond + 1, sent[0],
-                           sent[0].endpoint == "a" ? Outcome::kConnectFailed : Outcome::kOk, attempt_number);
+      actions = engine.end_attempt(i * 20 * kMillisecond + 1, sent[0],
+                                   sent[0].endpoint == "a" ? Outcome::kConnectFailed : Outcome::kOk,
+                                   attempt_number);
     }
   }
   EXPECT_FALSE(endpoints_used.count("a"));
@@ -38,9 +39,9 @@
       if (sent.empty()) break;
       const bool fails = sent[0].endpoint == "a";
       failed += fails;
-      actions = engine.end(now + (fails ? kMillisecond : 15 * kMillisecond), sent[0],
-                           fails ? Outcome::kError : Outcome::kOk, attempt_number,
-                           fails ? kMillisecond : 15 * kMillisecond);
+      actions = engine.end_attempt(now + (fails ? kMillisecond : 15 * kMillisecond), sent[0],
+                                   fails ? Outcome::kError : Outcome::kOk, attempt_number,
+                                   fails ? kMillisecond : 15 * kMillisecond);
     }
   }
   EXPECT_LE(failed, 4);  // of 100: three until it is ejected, and one probe
--- a/tests/decision/quota_slices_test.cpp
+++ b/tests/decision/quota_slices_test.cpp
@@ -14,7 +14,7 @@
     auto actions = engine.arrive(kMillisecond, numbered("r", i));
     for (const SendAttempt& attempt : actions_of<SendAttempt>(actions)) {
       ++admitted;
-      engine.end(kMillisecond, attempt, Outcome::kOk);
+      engine.end_attempt(kMillisecond, attempt, Outcome::kOk);
     }
     for (const RejectRequest& rejection : actions_of<RejectRequest>(actions)) {
       ++rejections;
--- a/tests/decision/retries_test.cpp
+++ b/tests/decision/retries_test.cpp
@@ -23,7 +23,7 @@
   EngineHarness engine(settings_with_idempotency(Idempotency::kByKey), endpoints);
   auto first = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
   ASSERT_EQ(first.size(), 1u);
-  auto out = engine.end(50 * kMillisecond, first[0], Outcome::kReset);
+  auto out = engine.end_attempt(50 * kMillisecond, first[0], Outcome::kReset);
   auto second = actions_of<SendAttempt>(out);
   ASSERT_EQ(second.size(), 1u);
   auto is_in_first_cell = [](const std::string& endpoint) { return endpoint == "a" || endpoint == "b"; };
@@ -35,7 +35,7 @@
   settings.max_attempts = 1;
   EngineHarness engine(settings);
   auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
-  auto out = engine.end(50 * kMillisecond, sent.at(0), Outcome::kReset);
+  auto out = engine.end_attempt(50 * kMillisecond, sent.at(0), Outcome::kReset);
   EXPECT_EQ(actions_of<FailRequest>(out).size(), 1u);
   EXPECT_TRUE(actions_of<RejectRequest>(out).empty());
 }
@@ -52,8 +52,8 @@
   for (const TimePoint failed_after : {550 * kMillisecond, 650 * kMillisecond}) {
     EngineHarness engine(settings);
     const auto first = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
-    const auto retries =
-        actions_of<SendAttempt>(engine.end(kMillisecond + failed_after, first.at(0), Outcome::kReset));
+    const auto retries = actions_of<SendAttempt>(
+        engine.end_attempt(kMillisecond + failed_after, first.at(0), Outcome::kReset));
     EXPECT_EQ(retries.size(),
               failed_after + settings.connect_timeout + 150 * kMillisecond < settings.classes[0].dedup_window
                   ? 1u
@@ -66,14 +66,16 @@
   for (Outcome outcome : {Outcome::kTimeout, Outcome::kReset, Outcome::kError, Outcome::kCancelled}) {
     EngineHarness engine(settings_with_idempotency(Idempotency::kNonIdempotent));
     auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
-    auto out = engine.end(50 * kMillisecond, sent.at(0), outcome);
+    auto out = engine.end_attempt(50 * kMillisecond, sent.at(0), outcome);
     EXPECT_TRUE(actions_of<SendAttempt>(out).empty());
     EXPECT_EQ(actions_of<FailRequest>(out).size(), 1u);
   }
   EngineHarness engine(settings_with_idempotency(Idempotency::kNonIdempotent));
   auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
   EXPECT_EQ(
-      actions_of<SendAttempt>(engine.end(50 * kMillisecond, sent.at(0), Outcome::kConnectFailed)).size(), 1u);
+      actions_of<SendAttempt>(engine.end_attempt(50 * kMillisecond, sent.at(0), Outcome::kConnectFailed))
+          .size(),
+      1u);
 }
 
 TEST(Retries, CancelsStalledAttemptAndRetriesElsewhereWithinLatencyObjective) {
@@ -81,12 +83,13 @@
   settings.plans[0].rate = settings.plans[0].burst = 1000;
   EngineHarness engine(settings);
   for (int i = 0; i < 30; ++i)
-    engine.end(0, actions_of<SendAttempt>(engine.arrive(0, numbered("usual", i))).at(0), Outcome::kOk, 0,
-               20 * kMillisecond);
+    engine.end_attempt(0, actions_of<SendAttempt>(engine.arrive(0, numbered("usual", i))).at(0), Outcome::kOk,
+                       0, 20 * kMillisecond);
   auto sent = actions_of<SendAttempt>(engine.arrive(kMillisecond, "r"));
-  auto out = engine.run(450 * kMillisecond);
+  auto out = engine.run_until(450 * kMillisecond);
   ASSERT_EQ(actions_of<CancelAttempt>(out).size(), 1u);
-  auto retries = actions_of<SendAttempt>(engine.end(451 * kMillisecond, sent.at(0), Outcome::kCancelled));
+  auto retries =
+      actions_of<SendAttempt>(engine.end_attempt(451 * kMillisecond, sent.at(0), Outcome::kCancelled));
   ASSERT_EQ(retries.size(), 1u);
   EXPECT_NE(retries[0].endpoint, sent[0].endpoint);
 }
@@ -94,10 +97,10 @@
 TEST(Retries, OneFastResponseDoesNotMakeNextAttemptsLookStalled) {
   EngineHarness engine;
   auto quick = actions_of<SendAttempt>(engine.arrive(0, "quick"));
-  engine.end(0, quick.at(0), Outcome::kOk, 0, 5 * kMillisecond);
+  engine.end_attempt(0, quick.at(0), Outcome::kOk, 0, 5 * kMillisecond);
   ASSERT_EQ(actions_of<SendAttempt>(engine.arrive(kMillisecond, "r")).size(), 1u);
   // A request may well take five times the prior mean latency, a sixth of the latency objective.
-  EXPECT_TRUE(actions_of<CancelAttempt>(engine.run(400 * kMillisecond)).empty());
+  EXPECT_TRUE(actions_of<CancelAttempt>(engine.run_until(400 * kMillisecond)).empty());
 }
 
 }  // namespace
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -23,7 +23,7 @@
   endpoints[0].started_at = 1;
   EngineHarness engine(settings, endpoints);
   engine.burst(kMillisecond, 5);
-  EXPECT_EQ(actions_of<SendAttempt>(engine.log()).size(), 1u);
+  EXPECT_EQ(actions_of<SendAttempt>(engine.all_actions()).size(), 1u);
 }
 
 // Simulates a fleet of gateways, each with one request per `interval`, 12 fresh endpoints in slow start and 8
@@ -55,7 +55,7 @@
         list.entries = fresh;
         engine.step(now, {list});
       }
-      auto sent = engine.run(now);
+      auto sent = engine.run_until(now);
       auto more = engine.arrive(now, numbered("r", now));
       append(sent, more);
       for (const SendAttempt& attempt : actions_of<SendAttempt>(sent)) {
@@ -66,7 +66,7 @@
           sent_to_fresh += attempt.endpoint[0] == 'n';
           fair_sent_to_fresh += 12 * capacity_fraction / (12 * capacity_fraction + 8);
         }
-        engine.end(now + 100 * kMillisecond, attempt, Outcome::kOk, 0, 100 * kMillisecond);
+        engine.end_attempt(now + 100 * kMillisecond, attempt, Outcome::kOk, 0, 100 * kMillisecond);
       }
     }
   }
@@ -115,12 +115,12 @@
         EndpointListUpdate list;
         list.kind = EndpointListUpdate::Kind::kPartial;
         list.entries = fresh;
-        engine->run(now - 1);
+        engine->run_until(now - 1);
         engine->step(now, {list});
       }
       if (gateway % 3 && now >= kJoin + restart_delay && !std::exchange(restarted, true))
         engine.emplace(settings, all_endpoints, seed * 1000 + 500 + std::uint64_t(gateway));
-      auto actions = engine->run(now);
+      auto actions = engine->run_until(now);
       auto more = engine->arrive(now, numbered("r", now));
       append(actions, more);
       std::map<std::string, int> attempts;
@@ -132,8 +132,8 @@
         sent_to_warm += attempt.endpoint[0] == 'o' && now < kJoin;
         const double share = attempt.endpoint[0] == 'o' && now >= kJoin ? rejected_share : 0.25;
         const Outcome outcome = chance(random) < share ? Outcome::kOverloaded : Outcome::kOk;
-        auto next = engine->end(now + 100 * kMillisecond, attempt, outcome, attempts[attempt.id]++,
-                                100 * kMillisecond);
+        auto next = engine->end_attempt(now + 100 * kMillisecond, attempt, outcome, attempts[attempt.id]++,
+                                        100 * kMillisecond);
         append(actions, next);
       }
     }
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -152,7 +152,7 @@
 };
 
 const std::string kNoResponse;
-const std::string kHeaderOnly = FakeDiscovery::kHead;
+const std::string kHeaderOnly = FakeDiscovery::kResponseHead;
 const std::string kStalledMessage =
     kHeaderOnly + FakeDiscovery::chunk(update_json(45, true, "").substr(0, 20));
 const std::string kRejected = reply("503 No");
--- a/tests/runtime/coordinator_test.cpp
+++ b/tests/runtime/coordinator_test.cpp
@@ -16,7 +16,7 @@
     const auto response = client.receive();
     return response ? int(response->result_int()) : 0;
   }
-  Rig rig;
+  GatewayRig rig;
   FakeEndpoint endpoint1{rig.io};
   FakeEndpoint endpoint2{rig.io};
   FakeEndpoint endpoint3{rig.io};
@@ -242,7 +242,7 @@
   Client client = rig.client();
   client.send(get_request("a"));
   EXPECT_EQ(receive_status(client), 200);
-  ASSERT_TRUE(rig.run_until([&] { return !counter.calls.empty(); }));
+  ASSERT_TRUE(rig.run_until([&] { return !counter.commands.empty(); }));
   counter.silent = true;
   client.send(get_request("b"));
   EXPECT_EQ(receive_status(client), 200);
--- a/tests/support/engine_harness.hpp
+++ b/tests/support/engine_harness.hpp
@@ -94,12 +94,12 @@
     std::vector<Action> actions;
     engine_.handle(now, events, actions);
     for (const SetTimer& timer : actions_of<SetTimer>(actions)) timers_.emplace(timer.at, timer.token);
-    append(log_, actions);
+    append(all_actions_, actions);
     return actions;
   }
 
   // Fires timers up to `until`; returns all actions of that time.
-  std::vector<Action> run(TimePoint until) {
+  std::vector<Action> run_until(TimePoint until) {
     std::vector<Action> actions;
     while (!timers_.empty() && timers_.begin()->first <= until) {
       const auto [at, token] = *timers_.begin();
@@ -113,8 +113,8 @@
     return step(now, {request(id, now, units)});
   }
 
-  std::vector<Action> end(TimePoint now, const SendAttempt& sent, Outcome outcome, int attempt = 0,
-                          Duration duration = kMillisecond) {
+  std::vector<Action> end_attempt(TimePoint now, const SendAttempt& sent, Outcome outcome, int attempt = 0,
+                                  Duration duration = kMillisecond) {
     AttemptEnded ended;
     ended.id = sent.id;
     ended.endpoint = sent.endpoint;
@@ -144,7 +144,7 @@
       const auto actions = arrive(now, numbered("b", now) + numbered("-", i), units);
       for (const SendAttempt& attempt : actions_of<SendAttempt>(actions)) {
         ++admitted;
-        end(now, attempt, Outcome::kOk);
+        end_attempt(now, attempt, Outcome::kOk);
       }
     }
     return admitted;
@@ -152,12 +152,12 @@
 
   DecisionEngine& engine() { return engine_; }
   // All actions so far.
-  const std::vector<Action>& log() const { return log_; }
+  const std::vector<Action>& all_actions() const { return all_actions_; }
 
  private:
   DecisionEngine engine_;
   std::multimap<TimePoint, std::int64_t> timers_;
-  std::vector<Action> log_;
+  std::vector<Action> all_actions_;
 };
 
 }  // namespace quota_gateway::testing
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -168,14 +168,14 @@
   explicit FakeCounter(asio::io_context& io, tcp::endpoint at = {asio::ip::address_v4::loopback(), 0})
       : LoopbackServer(io, at) {}
   bool silent = false;
-  std::optional<std::string> answer;  // raw, in place of the total
-  std::vector<std::vector<std::string>> calls;
+  std::optional<std::string> raw_reply;  // in place of the total
+  std::vector<std::vector<std::string>> commands;
   std::map<std::string, double> totals;
-  std::shared_ptr<Peer> last;
+  std::shared_ptr<Peer> last_peer;
 
  protected:
   void on_data(Peer& peer, std::string& pending) override {
-    last = peer.shared_from_this();
+    last_peer = peer.shared_from_this();
     auto& reader = readers_[&peer];
     if (!reader) reader.reset(redisReaderCreate(), redisReaderFree);
     redisReaderFeed(reader.get(), pending.data(), pending.size());
@@ -190,10 +190,10 @@
         if (!silent) peer.write("+PONG\r\n");
         continue;
       }
-      calls.push_back(words);
+      commands.push_back(words);
       const std::string total = std::to_string(totals[words[1]] += std::stod(words[2]));
       if (silent) continue;
-      peer.write(answer ? *answer : "$" + std::to_string(total.size()) + "\r\n" + total + "\r\n");
+      peer.write(raw_reply ? *raw_reply : "$" + std::to_string(total.size()) + "\r\n" + total + "\r\n");
     }
   }
 
@@ -209,7 +209,7 @@
   std::vector<std::string> requested_targets;  // targets
   std::string first_update = "\n";             // what a watch begins with
   std::deque<std::string> scripted_responses;  // raw, the answers to the next calls
-  static constexpr const char* kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  static constexpr const char* kResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   bool silent = false;
   void write_raw(const std::string& bytes) { peers.back()->write(bytes); }
   void send_update(const std::string& text) { write_raw(chunk(text)); }
@@ -225,7 +225,7 @@
     requested_targets.push_back(pending.substr(4, pending.find(" HTTP/") - 4));
     pending.clear();
     if (silent) return;
-    if (scripted_responses.empty()) return peer.write(kHead + chunk(first_update));
+    if (scripted_responses.empty()) return peer.write(kResponseHead + chunk(first_update));
     peer.write(scripted_responses.front());
     scripted_responses.pop_front();
   }
@@ -295,9 +295,9 @@
 }
 
 // A whole gateway in the test's loop, with a discovery that has nothing new to tell.
-class Rig {
+class GatewayRig {
  public:
-  Rig() : discovery(io) {
+  GatewayRig() : discovery(io) {
     config.name = "n0";
     config.listen = {asio::ip::address_v4::loopback(), 0};
     config.discovery = discovery.address();
--- a/tests/support/process.hpp
+++ b/tests/support/process.hpp
@@ -17,11 +17,11 @@
 class Process {
  public:
   // `listener`, if any, is what the platform hands down as descriptor 5.
-  struct From {
+  struct ConfigurationPath {
     std::string path;  // of a configuration that is the test's own
   };
-  explicit Process(const From& from) {
-    path_ = from.path;
+  explicit Process(const ConfigurationPath& configuration) {
+    path_ = configuration.path;
     start(-1, "");
   }
   // `faults`: how its system calls fail, in the words of tests/support/system_call_faults.cpp.
--- a/tests/support/quota_simulation.hpp
+++ b/tests/support/quota_simulation.hpp
@@ -38,7 +38,7 @@
       next_actions = engine.step(now, {counter.increment(*call)});
     } else if (const auto* attempt = std::get_if<SendAttempt>(&actions[i])) {
       ++attempts;
-      next_actions = engine.end(now, SendAttempt(*attempt), Outcome::kOk);
+      next_actions = engine.end_attempt(now, SendAttempt(*attempt), Outcome::kOk);
     }
     append(actions, next_actions);
   }
@@ -58,7 +58,7 @@
   void run(TimePoint now) {
     if (next_at_ == 0) next_at_ = now;
     for (; rate_ > 0 && next_at_ <= now; next_at_ += Duration(double(kSecond) / rate_)) {
-      handle_actions(next_at_, engine_, counter_, engine_.run(next_at_));
+      handle_actions(next_at_, engine_, counter_, engine_.run_until(next_at_));
       arrive(next_at_);
     }
   }
@@ -99,7 +99,7 @@
 
   int run(TimePoint now) {
     other_.run(now);
-    return handle_actions(now, engine_, counter_, engine_.run(now));
+    return handle_actions(now, engine_, counter_, engine_.run_until(now));
   }
 
  private:
@@ -140,7 +140,7 @@
     RequestArrived request = EngineHarness::request(numbered("p", i), now);
     request.gateway_set_size = scenario.gateway_count;
     auto actions = engine.step(now, {request});
-    append(actions, engine.run(now + 1));
+    append(actions, engine.run_until(now + 1));
     const bool failing = scenario.counter_failure != CounterOutcome::kOk &&
                          now >= (1000 + scenario.failure_start_seconds) * kSecond;
     for (std::size_t k = 0; k < actions.size(); ++k) {
@@ -155,7 +155,7 @@
       }
       if (const auto* attempt = std::get_if<SendAttempt>(&actions[k])) {
         if (i >= steps / 2) ++admitted;
-        engine.end(now, SendAttempt(*attempt), Outcome::kOk);
+        engine.end_attempt(now, SendAttempt(*attempt), Outcome::kOk);
       }
     }
     if (i >= steps / 2) ++requests;
