--- a/tests/support/engine_harness.hpp
+++ b/tests/support/engine_harness.hpp
@@ -1,4 +1,4 @@
-// One decision engine as tests drive it, with its timers and hand-written events.
+// Drives one decision engine in simulated time: passes events to it and fires the timers that it sets.
 #pragma once
 
 #include <map>
@@ -18,7 +18,7 @@
   return prefix.append(std::to_string(number));
 }
 
-// One class of idempotent requests and one plan, over two gateways.
+// Returns settings with one class of idempotent requests and one plan, for two gateways.
 inline Settings basic_settings() {
   Settings settings;
   ClassSettings read;
@@ -46,7 +46,7 @@
   return settings;
 }
 
-// Gives endpoints a slow start, in which their capacity rises from `min_capacity` over `duration`.
+// Enables slow start: the capacity of a new endpoint rises from the fraction `min_capacity` over `duration`.
 inline void enable_slow_start(Settings& settings, double min_capacity, Duration duration,
                               double overload_factor, Duration window) {
   settings.slow_start_min_capacity_fraction = min_capacity;
@@ -55,7 +55,7 @@
   settings.slow_start_window = window;
 }
 
-// The actions of one type among `actions`, in order.
+// Returns the actions of type `T` among `actions`, in order.
 template <typename T>
 std::vector<T> actions_of(const std::vector<Action>& actions) {
   std::vector<T> found;
@@ -68,7 +68,7 @@
   actions.insert(actions.end(), more.begin(), more.end());
 }
 
-// Endpoint entries that are up, by these names.
+// Returns an entry in state `kUp` for each endpoint name.
 inline std::vector<EndpointEntry> up(const std::vector<std::string>& names) {
   std::vector<EndpointEntry> entries;
   for (const std::string& name : names) {
@@ -89,7 +89,7 @@
     step(0, {list});
   }
 
-  // Passes the events to the engine and keeps the timers that it sets.
+  // Passes `events` to the engine and stores the timers that it sets. Returns the resulting actions.
   std::vector<Action> step(TimePoint now, const std::vector<Event>& events) {
     std::vector<Action> actions;
     engine_.handle(now, events, actions);
@@ -98,7 +98,7 @@
     return actions;
   }
 
-  // Fires timers up to `until`; returns all actions of that time.
+  // Fires all timers due by `until`, in order of time. Returns the resulting actions.
   std::vector<Action> run_until(TimePoint until) {
     std::vector<Action> actions;
     while (!timers_.empty() && timers_.begin()->first <= until) {
@@ -109,10 +109,12 @@
     return actions;
   }
 
+  // Passes the arrival of a request to the engine. Returns the resulting actions.
   std::vector<Action> arrive(TimePoint now, const std::string& id, double units = 1) {
     return step(now, {request(id, now, units)});
   }
 
+  // Reports the outcome of an attempt to the engine. Returns the resulting actions.
   std::vector<Action> end_attempt(TimePoint now, const SendAttempt& sent, Outcome outcome, int attempt = 0,
                                   Duration duration = kMillisecond) {
     AttemptEnded ended;
@@ -125,6 +127,7 @@
     return step(now, {ended});
   }
 
+  // Returns a request of customer `c1` with a deadline 2 s after `now`.
   static RequestArrived request(const std::string& id, TimePoint now, double units = 1) {
     RequestArrived arrived;
     arrived.id = id;
@@ -137,7 +140,8 @@
     return arrived;
   }
 
-  // Sends and serves requests at one instant; returns how many were admitted.
+  // Sends `count` requests at `now` and completes each attempt successfully. Returns how many requests were
+  // admitted.
   int burst(TimePoint now, int count, double units = 1) {
     int admitted = 0;
     for (int i = 0; i < count; ++i) {
@@ -151,7 +155,7 @@
   }
 
   DecisionEngine& engine() { return engine_; }
-  // All actions so far.
+  // Returns all actions since construction, in order.
   const std::vector<Action>& all_actions() const { return all_actions_; }
 
  private:
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -1,5 +1,6 @@
-// What the tests of the real gateway talk to: servers, a counter, discovery and clients on 127.0.0.1, port 0,
-// in the loop of the test itself, each doing just what its test tells it. Nothing here sleeps.
+// Fakes of everything that the gateway talks to: endpoints, a counter, discovery and clients. They run on
+// 127.0.0.1, on ports that the kernel chooses, in the event loop of the test, and behave as the test sets
+// them up. None of them blocks the thread with a sleep.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -27,22 +28,23 @@
 using boost::system::error_code;
 using HttpRequest = http::request<http::string_body>;
 
-// A clock that a test moves on, or stops; timers run by it, each at its own pace after that.
+// A clock that a test can advance or stop, with a wall clock that it can step. A timer reads it when it is
+// armed and then waits in real time.
 class TestClock : public Clock {
  public:
-  TimePoint now() const override { return stopped_ ? *stopped_ : Clock::now() + moved_; }
-  TimePoint wall_now() const override { return now() + stepped_; }
-  // Steps the wall clock.
-  void step_wall_clock(Duration by) { stepped_ += by; }
-  void advance(Duration by) { stopped_ ? * stopped_ += by : moved_ += by; }
-  void stop() { stopped_ = now(); }
+  TimePoint now() const override { return stopped_at_ ? *stopped_at_ : Clock::now() + offset_; }
+  TimePoint wall_now() const override { return now() + wall_clock_step_; }
+  void step_wall_clock(Duration by) { wall_clock_step_ += by; }
+  void advance(Duration by) { stopped_at_ ? * stopped_at_ += by : offset_ += by; }
+  void stop() { stopped_at_ = now(); }
 
  private:
-  Duration moved_ = 0, stepped_ = 0;
-  std::optional<Duration> stopped_;
+  Duration offset_ = 0, wall_clock_step_ = 0;
+  std::optional<Duration> stopped_at_;
 };
 
-// Runs the loop until `done`, or fails the test after a time that no healthy run comes near.
+// Runs the event loop until `done` returns true. Returns false after 20 s, far longer than a passing test
+// takes.
 inline bool run_until(asio::io_context& io, const std::function<bool()>& done) {
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!done()) {
@@ -60,25 +62,27 @@
   run_until(io, [&] { return elapsed; });
 }
 
+// Returns an HTTP response with its Content-Length; each line of `headers` ends in CRLF.
 inline std::string reply(const std::string& status, const std::string& headers = "",
                          const std::string& body = "") {
   return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
-// A connection that something accepted; bytes in, whatever the owner makes of them.
+// A connection that a LoopbackServer accepted. Received bytes are appended to `pending` and passed to
+// `on_data`, which removes what it has processed.
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
-  Peer(tcp::socket s, std::function<void(Peer&, std::string&)> on_data)
-      : socket(std::move(s)), on_data_(std::move(on_data)) {}
+  Peer(tcp::socket accepted, std::function<void(Peer&, std::string&)> on_data)
+      : socket(std::move(accepted)), on_data_(std::move(on_data)) {}
   void read() {
     socket.async_read_some(asio::buffer(chunk_),
-                           [this, self = shared_from_this()](error_code ec, std::size_t n) {
+                           [this, self = shared_from_this()](error_code ec, std::size_t size) {
                              if (ec) {
                                closed = true;
                                return;
                              }
-                             pending.append(chunk_.data(), n);
+                             pending.append(chunk_.data(), size);
                              on_data_(*this, pending);
                              if (socket.is_open()) read();
                            });
@@ -92,6 +96,7 @@
     socket.close(ignored);
     closed = true;
   }
+  // Closes the connection with a TCP reset.
   void reset() {
     socket.set_option(asio::socket_base::linger(true, 0));
     close();
@@ -106,17 +111,19 @@
   std::array<char, 16384> chunk_;
 };
 
+// A TCP server on 127.0.0.1 that keeps every connection it accepted in `peers`.
 class LoopbackServer {
  public:
-  explicit LoopbackServer(asio::io_context& io, tcp::endpoint at = {asio::ip::address_v4::loopback(), 0})
-      : acceptor(io, at) {
+  explicit LoopbackServer(asio::io_context& io, tcp::endpoint address = {asio::ip::address_v4::loopback(), 0})
+      : acceptor(io, address) {
     accept();
   }
   virtual ~LoopbackServer() = default;
   tcp::endpoint address() const { return acceptor.local_endpoint(); }
   std::string address_text() const { return "127.0.0.1:" + std::to_string(address().port()); }
+  // Resets all connections and accepts no more.
   void stop() {
-    for (auto& p : peers) p->reset();
+    for (auto& peer : peers) peer->reset();
     acceptor.close();
   }
   tcp::acceptor acceptor;
@@ -129,20 +136,21 @@
   void accept() {
     acceptor.async_accept([this](error_code ec, tcp::socket socket) {
       if (ec) return;
-      peers.push_back(
-          std::make_shared<Peer>(std::move(socket), [this](Peer& p, std::string& in) { on_data(p, in); }));
+      peers.push_back(std::make_shared<Peer>(
+          std::move(socket), [this](Peer& peer, std::string& pending) { on_data(peer, pending); }));
       peers.back()->read();
       accept();
     });
   }
 };
 
-// Whole requests come to `on_request`; by default it is served its own target.
+// An HTTP server that passes each complete request to `on_request`; by default it responds with the request
+// target as the body.
 class FakeEndpoint : public LoopbackServer {
  public:
   using LoopbackServer::LoopbackServer;
-  std::function<void(Peer&, const HttpRequest&)> on_request = [](Peer& p, const HttpRequest& r) {
-    p.write(reply("200 OK", "", std::string(r.target())));
+  std::function<void(Peer&, const HttpRequest&)> on_request = [](Peer& peer, const HttpRequest& request) {
+    peer.write(reply("200 OK", "", std::string(request.target())));
   };
   std::vector<HttpRequest> requests;
 
@@ -162,13 +170,13 @@
   }
 };
 
-// Adds up what is added, unless told otherwise.
+// A counter service that replies to each CNT.ADD with the new total, unless `silent` or `raw_reply` is set.
 class FakeCounter : public LoopbackServer {
  public:
-  explicit FakeCounter(asio::io_context& io, tcp::endpoint at = {asio::ip::address_v4::loopback(), 0})
-      : LoopbackServer(io, at) {}
+  explicit FakeCounter(asio::io_context& io, tcp::endpoint address = {asio::ip::address_v4::loopback(), 0})
+      : LoopbackServer(io, address) {}
   bool silent = false;
-  std::optional<std::string> raw_reply;  // in place of the total
+  std::optional<std::string> raw_reply;  // sent instead of the total
   std::vector<std::vector<std::string>> commands;
   std::map<std::string, double> totals;
   std::shared_ptr<Peer> last_peer;
@@ -180,12 +188,13 @@
     if (!reader) reader.reset(redisReaderCreate(), redisReaderFree);
     redisReaderFeed(reader.get(), pending.data(), pending.size());
     pending.clear();
-    void* raw = nullptr;
-    while (redisReaderGetReply(reader.get(), &raw) == REDIS_OK && raw) {
-      const std::unique_ptr<void, void (*)(void*)> held(raw, freeReplyObject);
-      const auto& r = *static_cast<redisReply*>(raw);
+    void* reply = nullptr;
+    while (redisReaderGetReply(reader.get(), &reply) == REDIS_OK && reply) {
+      const std::unique_ptr<void, void (*)(void*)> owner(reply, freeReplyObject);
+      const auto& array = *static_cast<redisReply*>(reply);
       std::vector<std::string> words;
-      for (std::size_t i = 0; i < r.elements; ++i) words.emplace_back(r.element[i]->str, r.element[i]->len);
+      for (std::size_t i = 0; i < array.elements; ++i)
+        words.emplace_back(array.element[i]->str, array.element[i]->len);
       if (words[0] == "PING") {
         if (!silent) peer.write("+PONG\r\n");
         continue;
@@ -201,18 +210,19 @@
   std::map<Peer*, std::shared_ptr<redisReader>> readers_;
 };
 
-// Answers a watch with its header and the lines that it is given.
+// A discovery service that responds to each watch with `first_update`, then sends the updates of the test.
 class FakeDiscovery : public LoopbackServer {
  public:
-  explicit FakeDiscovery(asio::io_context& io, tcp::endpoint at = {asio::ip::address_v4::loopback(), 0})
-      : LoopbackServer(io, at) {}
-  std::vector<std::string> requested_targets;  // targets
-  std::string first_update = "\n";             // what a watch begins with
-  std::deque<std::string> scripted_responses;  // raw, the answers to the next calls
+  explicit FakeDiscovery(asio::io_context& io, tcp::endpoint address = {asio::ip::address_v4::loopback(), 0})
+      : LoopbackServer(io, address) {}
+  std::vector<std::string> requested_targets;
+  std::string first_update = "\n";             // sent at the start of each watch
+  std::deque<std::string> scripted_responses;  // raw responses to the next watches, each used once
   static constexpr const char* kResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   bool silent = false;
   void write_raw(const std::string& bytes) { peers.back()->write(bytes); }
   void send_update(const std::string& text) { write_raw(chunk(text)); }
+  // Returns `text` as one chunk of the chunked transfer encoding.
   static std::string chunk(const std::string& text) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
@@ -234,20 +244,21 @@
 // A client with one connection.
 class Client {
  public:
-  Client(asio::io_context& io, const tcp::endpoint& to) : io_(io), socket(io) { socket.connect(to); }
+  Client(asio::io_context& io, const tcp::endpoint& server) : io_(io), socket(io) { socket.connect(server); }
   void send(const std::string& text) {
     error_code ignored;
     asio::write(socket, asio::buffer(text), ignored);
   }
-  // The next answer; none if the connection ends first.
+  // Returns the next response, or std::nullopt if the connection ends first.
   std::optional<http::response<http::string_body>> receive() {
     std::optional<error_code> done;
-    http::response<http::string_body> out;
-    http::async_read(socket, buffer_, out, [&](error_code ec, std::size_t) { done = ec; });
-    if (!run_until(io_, [&] { return done.has_value(); })) ADD_FAILURE() << "no answer";
+    http::response<http::string_body> response;
+    http::async_read(socket, buffer_, response, [&](error_code ec, std::size_t) { done = ec; });
+    if (!run_until(io_, [&] { return done.has_value(); })) ADD_FAILURE() << "no response";
     if (!done || *done) return std::nullopt;
-    return out;
+    return response;
   }
+  // Waits for the next byte or the end of the connection; returns whether the connection ended.
   bool closed_by_peer() {
     std::optional<error_code> done;
     char byte;
@@ -263,10 +274,10 @@
   tcp::socket socket;
 };
 
-inline std::string get_request(const std::string& id, const std::string& more = "") {
+inline std::string get_request(const std::string& id, const std::string& more_headers = "") {
   return "GET /profile-read/00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " + id +
-         "\r\nPlan: plan-group\r\nX-Expires-In: 4000m\r\nQuota-Info: units=1,spread=3,first=0\r\n" + more +
-         "\r\n";
+         "\r\nPlan: plan-group\r\nX-Expires-In: 4000m\r\nQuota-Info: units=1,spread=3,first=0\r\n" +
+         more_headers + "\r\n";
 }
 inline std::string post_request(const std::string& id, const std::string& expires = "4000m") {
   return "POST /intro-request/00000000b4d65521?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " + id +
@@ -274,27 +285,27 @@
          "\r\nContent-Length: 5\r\nQuota-Info: units=1,spread=3,first=0\r\n\r\nhello";
 }
 
-inline DiscoveredEndpoint discovered_endpoint(const std::string& id, const LoopbackServer& at,
+inline DiscoveredEndpoint discovered_endpoint(const std::string& id, const LoopbackServer& server,
                                               std::int64_t cell = 0) {
-  DiscoveredEndpoint m;
-  m.entry.endpoint = id;
-  m.entry.zone = "a";
-  m.entry.cell = cell;
-  m.address = at.address();
-  return m;
+  DiscoveredEndpoint endpoint;
+  endpoint.entry.endpoint = id;
+  endpoint.entry.zone = "a";
+  endpoint.entry.cell = cell;
+  endpoint.address = server.address();
+  return endpoint;
 }
-inline std::string endpoint_json(const std::string& id, const std::string& at,
-                                 const std::string& phase = "up", std::int64_t since = 0) {
-  return R"({"id":")" + id + R"(","host_port":")" + at +
+inline std::string endpoint_json(const std::string& id, const std::string& address,
+                                 const std::string& phase = "up", std::int64_t up_since_ms = 0) {
+  return R"({"id":")" + id + R"(","host_port":")" + address +
          R"(","locality":"a","flavor":"m","cell":1,"phase":")" + phase + R"(","size":1.0,"up_since_ms":)" +
-         std::to_string(since) + "}";
+         std::to_string(up_since_ms) + "}";
 }
 inline std::string update_json(std::int64_t revision, bool complete, const std::string& entries) {
   return R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" + (complete ? "true" : "false") +
          R"(,"members":[)" + entries + "]}\n";
 }
 
-// A whole gateway in the test's loop, with a discovery that has nothing new to tell.
+// A gateway that runs in the event loop of the test, with a discovery that sends no changes unless told to.
 class GatewayRig {
  public:
   GatewayRig() : discovery(io) {
@@ -302,13 +313,13 @@
     config.listen = {asio::ip::address_v4::loopback(), 0};
     config.discovery = discovery.address();
     config.seed = 7;
-    Settings& s = config.settings;
-    s.zone = "a";
-    s.gateway_count = 3;
-    s.max_attempts = 4;
-    s.allow_cancel = s.allow_retry_after = true;
-    s.max_retry_after = 2'000'000;
-    s.drain_grace = 500'000;
+    Settings& settings = config.settings;
+    settings.zone = "a";
+    settings.gateway_count = 3;
+    settings.max_attempts = 4;
+    settings.allow_cancel = settings.allow_retry_after = true;
+    settings.max_retry_after = 2'000'000;
+    settings.drain_grace = 500'000;
     ClassSettings read, intro;
     read.name = "profile-read";
     read.idempotency = Idempotency::kIdempotent;
@@ -317,16 +328,18 @@
     intro.latency_objective = 2'000'000;
     intro.late_weight_fraction = 0.2;
     intro.dedup_window = 8'000'000;
-    s.classes = {read, intro};
+    settings.classes = {read, intro};
     PlanSettings plan;
     plan.name = "plan-group";
     plan.rate = 1000;
     plan.burst = 1000;
-    s.plans = {plan};
+    settings.plans = {plan};
     config.initial_endpoints.complete = true;
     config.initial_endpoints.revision = 41;
   }
-  void add_endpoint(const DiscoveredEndpoint& m) { config.initial_endpoints.endpoints.push_back(m); }
+  void add_endpoint(const DiscoveredEndpoint& endpoint) {
+    config.initial_endpoints.endpoints.push_back(endpoint);
+  }
   Coordinator& start() { return coordinator.emplace(io, config, clock); }
   Client client() { return {io, coordinator->address()}; }
   bool run_until(const std::function<bool()>& done) { return testing::run_until(io, done); }
--- a/tests/support/process.hpp
+++ b/tests/support/process.hpp
@@ -1,4 +1,4 @@
-// The program itself, started and ended by a test.
+// Runs the gateway program as a child process of the test.
 #pragma once
 
 #include <fcntl.h>
@@ -14,40 +14,43 @@
 
 namespace quota_gateway::net::testing {
 
+// One run of the program. Its standard error is read through a pipe; the destructor kills it.
 class Process {
  public:
-  // `listener`, if any, is what the platform hands down as descriptor 5.
   struct ConfigurationPath {
-    std::string path;  // of a configuration that is the test's own
+    std::string path;  // of a configuration file that the test wrote; the destructor removes it
   };
   explicit Process(const ConfigurationPath& configuration) {
     path_ = configuration.path;
     start(-1, "");
   }
-  // `faults`: how its system calls fail, in the words of tests/support/system_call_faults.cpp.
-  explicit Process(const std::string& config, int listener = -1, const std::string& shared = "",
+  // Writes `config` to a temporary file. `listener`, unless -1, is inherited as descriptor 5, as from the
+  // platform. `shared_directory` becomes TMPDIR. `faults` makes system calls fail, in the format that
+  // system_call_faults.cpp describes.
+  explicit Process(const std::string& config, int listener = -1, const std::string& shared_directory = "",
                    const std::string& faults = "") {
     char name[] = "/tmp/quota-gateway-test-XXXXXX";
     const int file = ::mkstemp(name);
     path_ = name;
     EXPECT_EQ(::write(file, config.data(), config.size()), ssize_t(config.size()));
     ::close(file);
-    start(listener, shared, faults);
+    start(listener, shared_directory, faults);
   }
-  void start(int listener, const std::string& shared, const std::string& faults = "") {
-    int ends[2];
-    EXPECT_EQ(::pipe(ends), 0);
+  void start(int listener, const std::string& shared_directory, const std::string& faults = "") {
+    int log_pipe[2];
+    EXPECT_EQ(::pipe(log_pipe), 0);
     pid_ = ::fork();
     if (pid_ == 0) {
-      ::dup2(ends[1], STDERR_FILENO);
-      ::close(ends[0]);
-      ::close(ends[1]);
+      ::dup2(log_pipe[1], STDERR_FILENO);
+      ::close(log_pipe[0]);
+      ::close(log_pipe[1]);
       ::setenv("RELAY_CONFIG", path_.c_str(), 1);
-      ::setenv("TMPDIR", shared.c_str(), 1);
+      ::setenv("TMPDIR", shared_directory.c_str(), 1);
       if (!faults.empty()) {
         ::setenv("LD_PRELOAD", FAULT_INJECTION_LIBRARY, 1);
         ::setenv("INJECTED_FAULTS", faults.c_str(), 1);
-        ::setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);  // the library comes before the sanitizer's
+        // The sanitizer would reject a library that is loaded before its own.
+        ::setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
       }
       if (listener >= 0) {
         ::dup2(listener, 5);
@@ -56,35 +59,36 @@
       ::execl(GATEWAY_PROGRAM, GATEWAY_PROGRAM, nullptr);
       ::_exit(127);
     }
-    ::close(ends[1]);
-    errors_ = ends[0];
+    ::close(log_pipe[1]);
+    log_fd_ = log_pipe[0];
   }
   ~Process() {
     if (pid_ > 0) {
       ::kill(pid_, SIGKILL);
       ::waitpid(pid_, nullptr, 0);
     }
-    ::close(errors_);
+    ::close(log_fd_);
     ::unlink(path_.c_str());
   }
-  // Reads its log up to a line that holds `text`, or to its end.
+  // Reads the log until the end of a line, once it contains `text`, or until the log ends. Returns what it
+  // read.
   std::string log_until(const std::string& text) {
     std::string log;
     char byte;
-    while (::read(errors_, &byte, 1) == 1) {
+    while (::read(log_fd_, &byte, 1) == 1) {
       log += byte;
       if (byte == '\n' && log.find(text) != std::string::npos) break;
     }
     return log;
   }
   void terminate() { ::kill(pid_, SIGTERM); }
-  // Holds the process up, as a machine does that is short of processor time.
+  // Stops the process, as on a machine that is short of CPU time, until resume() is called.
   void suspend() {
     ::kill(pid_, SIGSTOP);
     ::waitpid(pid_, nullptr, WUNTRACED);
   }
   void resume() { ::kill(pid_, SIGCONT); }
-  // Seconds of processor time that it has used.
+  // Returns the CPU time that the process has used, in seconds.
   double cpu_seconds() const {
     std::ifstream stat("/proc/" + std::to_string(pid_) + "/stat");
     std::string field;
@@ -94,23 +98,26 @@
       if (i >= kUserTime) ticks += std::stod(field);
     return ticks / double(::sysconf(_SC_CLK_TCK));
   }
-  // Kilobytes of memory that it holds.
+  // Returns the resident memory of the process in kilobytes, or -1 if it is unknown.
   long resident_kilobytes() const {
     std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
     for (std::string line; std::getline(status, line);)
       if (line.starts_with("VmRSS:")) return std::stol(line.substr(6));
     return -1;
   }
+  // Sends SIGKILL and waits for the process to end.
   void kill() {
     ::kill(pid_, SIGKILL);
     ::waitpid(pid_, nullptr, 0);
     pid_ = 0;
   }
   void replace_config(const std::string& config) { std::ofstream(path_, std::ios::trunc) << config; }
+  // Replaces the configuration file and sends SIGHUP.
   void reconfigure(const std::string& config) {
     replace_config(config);
     ::kill(pid_, SIGHUP);
   }
+  // Waits for the process to end. Returns its exit code, or -1 if a signal killed it.
   int exit_code() {
     int status = 0;
     ::waitpid(pid_, &status, 0);
@@ -121,20 +128,23 @@
  private:
   std::string path_;
   pid_t pid_ = 0;
-  int errors_ = -1;
+  int log_fd_ = -1;
 };
 
+// Returns a port of 127.0.0.1 that is free at the time of the call.
 inline std::uint16_t free_port(asio::io_context& io) {
   return tcp::acceptor(io, {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
 }
 
-inline std::string configuration_json(std::uint16_t port, const LoopbackServer& server,
+// Returns a configuration with `endpoint` as its only endpoint; `more` adds top-level keys, each followed by
+// a comma.
+inline std::string configuration_json(std::uint16_t port, const LoopbackServer& endpoint,
                                       const LoopbackServer& discovery, const std::string& more = "") {
   return R"({"name":"n0",)" + more + R"("listen":"127.0.0.1:)" + std::to_string(port) + R"(","discovery":")" +
          discovery.address_text() +
          R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
     "known":)" +
-         update_json(41, true, endpoint_json("s1", server.address_text())) + R"(,
+         update_json(41, true, endpoint_json("s1", endpoint.address_text())) + R"(,
     "settings":{"Az":"a","ReplicasOfMe":1,"Position":0,"Classes":[{"Name":"profile-read","Repeat":"safe",
       "ObjectiveUs":3000000,"GiveUpUs":4000000,"Importance":1.0}],
       "TiersOfService":[{"Name":"plan-group","QuotaRate":9,"Depth":9}],"Limits":{"MaxAttempts":4}}})";
--- a/tests/support/system_call_faults.cpp
+++ b/tests/support/system_call_faults.cpp
@@ -1,9 +1,10 @@
-// A library that the tests preload into the gateway process: system calls fail as Linux documents.
+// A library that the tests preload into the gateway process. It makes system calls fail with errors that
+// Linux documents for them.
 //
-// INJECTED_FAULTS holds words of three forms, separated by spaces:
-//   CALL:ERRNO:TIMES[:AFTER_MS]  the next TIMES calls fail so, once the process has run for AFTER_MS
-//   random:SEED:PERMILLE         so many of the calls fail for a moment, or transfer one part only
-//   wall:SECONDS:AFTER_MS        the wall clock is stepped by so much
+// INJECTED_FAULTS holds entries of three forms, separated by spaces:
+//   CALL:ERRNO:TIMES[:AFTER_MS]  the next TIMES calls fail with ERRNO, once the process has run for AFTER_MS
+//   random:SEED:PERMILLE         PERMILLE of 1000 calls fail with a transient error or transfer fewer bytes
+//   wall:SECONDS:AFTER_MS        the wall clock steps by SECONDS once the process has run for AFTER_MS
 // A call that would have nothing to do (no connection to accept, no bytes to read) never fails.
 #include <dlfcn.h>
 #include <errno.h>
@@ -30,75 +31,80 @@
 };
 
 template <typename Function>
-Function* real(const char* name) {
+Function* real_function(const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
 long monotonic_ms() {
-  static const auto call = real<int(clockid_t, timespec*)>("clock_gettime");
+  static const auto call = real_function<int(clockid_t, timespec*)>("clock_gettime");
   timespec now{};
   call(CLOCK_MONOTONIC, &now);
   return now.tv_sec * 1000 + now.tv_nsec / 1'000'000;
 }
 
-class Plan {
+class FaultPlan {
  public:
-  Plan() {
+  FaultPlan() {
     const char* text = ::getenv("INJECTED_FAULTS");
-    std::istringstream words(text ? text : "");
-    for (std::string word; words >> word;) read(word);
+    std::istringstream entries(text ? text : "");
+    for (std::string entry; entries >> entry;) parse(entry);
   }
-  // The error with which this call fails now; 0: it does not.
-  int error(const std::string& call, const std::vector<int>& transient) {
-    for (Fault& f : faults_) {
-      if (f.call != call || f.times <= 0 || age_ms() < f.after_ms) continue;
-      --f.times;
-      return f.error;
+  // Returns the error with which this call is to fail, or 0 if it is to succeed. A random fault is one of the
+  // errors in `transient`.
+  int next_error(const std::string& call, const std::vector<int>& transient) {
+    for (Fault& fault : faults_) {
+      if (fault.call != call || fault.times <= 0 || elapsed_ms() < fault.after_ms) continue;
+      --fault.times;
+      return fault.error;
     }
-    if (!chance() || transient.empty()) return 0;
+    if (!random_fault() || transient.empty()) return 0;
     return transient[random_() % transient.size()];
   }
-  std::size_t part(std::size_t size) { return size > 1 && chance() ? 1 + random_() % (size - 1) : size; }
-  long wall_step() const { return age_ms() >= step_after_ms_ ? step_ : 0; }
+  // Returns how many of `size` bytes the call is to transfer: at times fewer, never 0.
+  std::size_t transfer_size(std::size_t size) {
+    return size > 1 && random_fault() ? 1 + random_() % (size - 1) : size;
+  }
+  // Returns the current step of the wall clock in seconds.
+  long wall_step() const { return elapsed_ms() >= wall_step_after_ms_ ? wall_step_seconds_ : 0; }
 
  private:
-  void read(const std::string& word) {
+  void parse(const std::string& entry) {
     std::vector<std::string> fields;
-    std::istringstream in(word);
+    std::istringstream in(entry);
     for (std::string field; std::getline(in, field, ':');) fields.push_back(field);
     if (fields.size() < 3) return;
     if (fields[0] == "random") {
       random_.seed(std::stoul(fields[1]));
       permille_ = std::stoul(fields[2]);
     } else if (fields[0] == "wall") {
-      step_ = std::stol(fields[1]);
-      step_after_ms_ = std::stol(fields[2]);
+      wall_step_seconds_ = std::stol(fields[1]);
+      wall_step_after_ms_ = std::stol(fields[2]);
     } else {
-      const long after = fields.size() > 3 ? std::stol(fields[3]) : 0;
-      faults_.push_back({fields[0], std::stoi(fields[1]), std::stoi(fields[2]), after});
+      const long after_ms = fields.size() > 3 ? std::stol(fields[3]) : 0;
+      faults_.push_back({fields[0], std::stoi(fields[1]), std::stoi(fields[2]), after_ms});
     }
   }
-  bool chance() { return permille_ > 0 && random_() % 1000 < permille_; }
-  long age_ms() const { return monotonic_ms() - began_ms_; }
+  bool random_fault() { return permille_ > 0 && random_() % 1000 < permille_; }
+  long elapsed_ms() const { return monotonic_ms() - started_ms_; }
 
-  const long began_ms_ = monotonic_ms();
+  const long started_ms_ = monotonic_ms();
   std::vector<Fault> faults_;
   std::mt19937 random_;
   unsigned long permille_ = 0;
-  long step_ = 0, step_after_ms_ = 0;
+  long wall_step_seconds_ = 0, wall_step_after_ms_ = 0;
 };
 
-Plan& plan() {
-  static Plan instance;
+FaultPlan& fault_plan() {
+  static FaultPlan instance;
   return instance;
 }
 
 bool readable(int fd) {
-  pollfd one{fd, POLLIN, 0};
-  return ::poll(&one, 1, 0) > 0;
+  pollfd descriptor{fd, POLLIN, 0};
+  return ::poll(&descriptor, 1, 0) > 0;
 }
 
-int fail(int error) {
+int fail_with(int error) {
   errno = error;
   return -1;
 }
@@ -108,88 +114,88 @@
 extern "C" {
 
 int accept(int fd, sockaddr* address, socklen_t* length) {
-  static const auto call = real<int(int, sockaddr*, socklen_t*)>("accept");
+  static const auto call = real_function<int(int, sockaddr*, socklen_t*)>("accept");
   if (!readable(fd)) return call(fd, address, length);
-  const int error = plan().error("accept", {ECONNABORTED, ENFILE, ENOBUFS, EINTR, EPROTO});
+  const int error = fault_plan().next_error("accept", {ECONNABORTED, ENFILE, ENOBUFS, EINTR, EPROTO});
   if (error == 0) return call(fd, address, length);
   if (error == ECONNABORTED && ::getenv("INJECTED_FAULTS_ABORT")) ::close(call(fd, address, length));
-  return fail(error);
+  return fail_with(error);
 }
 
 int socket(int domain, int type, int protocol) {
-  static const auto call = real<int(int, int, int)>("socket");
-  const int error = plan().error("socket", {ENFILE, ENOBUFS});
-  return error != 0 ? fail(error) : call(domain, type, protocol);
+  static const auto call = real_function<int(int, int, int)>("socket");
+  const int error = fault_plan().next_error("socket", {ENFILE, ENOBUFS});
+  return error != 0 ? fail_with(error) : call(domain, type, protocol);
 }
 
 int bind(int fd, const sockaddr* address, socklen_t length) {
-  static const auto call = real<int(int, const sockaddr*, socklen_t)>("bind");
-  const int error = plan().error("bind", {});
-  return error != 0 ? fail(error) : call(fd, address, length);
+  static const auto call = real_function<int(int, const sockaddr*, socklen_t)>("bind");
+  const int error = fault_plan().next_error("bind", {});
+  return error != 0 ? fail_with(error) : call(fd, address, length);
 }
 
 int connect(int fd, const sockaddr* address, socklen_t length) {
-  static const auto call = real<int(int, const sockaddr*, socklen_t)>("connect");
-  const int error = plan().error("connect", {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS});
-  return error != 0 ? fail(error) : call(fd, address, length);
+  static const auto call = real_function<int(int, const sockaddr*, socklen_t)>("connect");
+  const int error = fault_plan().next_error("connect", {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS});
+  return error != 0 ? fail_with(error) : call(fd, address, length);
 }
 
 ssize_t recv(int fd, void* buffer, size_t size, int flags) {
-  static const auto call = real<ssize_t(int, void*, size_t, int)>("recv");
+  static const auto call = real_function<ssize_t(int, void*, size_t, int)>("recv");
   if (!readable(fd)) return call(fd, buffer, size, flags);
-  const int error = plan().error("recv", {EINTR});
-  return error != 0 ? fail(error) : call(fd, buffer, plan().part(size), flags);
+  const int error = fault_plan().next_error("recv", {EINTR});
+  return error != 0 ? fail_with(error) : call(fd, buffer, fault_plan().transfer_size(size), flags);
 }
 
 ssize_t recvmsg(int fd, msghdr* message, int flags) {
-  static const auto call = real<ssize_t(int, msghdr*, int)>("recvmsg");
+  static const auto call = real_function<ssize_t(int, msghdr*, int)>("recvmsg");
   if (!readable(fd)) return call(fd, message, flags);
-  const int error = plan().error("recv", {EINTR});
-  return error != 0 ? fail(error) : call(fd, message, flags);
+  const int error = fault_plan().next_error("recv", {EINTR});
+  return error != 0 ? fail_with(error) : call(fd, message, flags);
 }
 
 ssize_t send(int fd, const void* buffer, size_t size, int flags) {
-  static const auto call = real<ssize_t(int, const void*, size_t, int)>("send");
-  const int error = plan().error("send", {EINTR});
-  return error != 0 ? fail(error) : call(fd, buffer, plan().part(size), flags);
+  static const auto call = real_function<ssize_t(int, const void*, size_t, int)>("send");
+  const int error = fault_plan().next_error("send", {EINTR});
+  return error != 0 ? fail_with(error) : call(fd, buffer, fault_plan().transfer_size(size), flags);
 }
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
-  static const auto call = real<ssize_t(int, const msghdr*, int)>("sendmsg");
-  const int error = plan().error("send", {EINTR});
-  if (error != 0) return fail(error);
+  static const auto call = real_function<ssize_t(int, const msghdr*, int)>("sendmsg");
+  const int error = fault_plan().next_error("send", {EINTR});
+  if (error != 0) return fail_with(error);
   if (message->msg_iovlen != 1) return call(fd, message, flags);
-  iovec part = message->msg_iov[0];
-  part.iov_len = plan().part(part.iov_len);
-  msghdr shorter = *message;
-  shorter.msg_iov = &part;
-  return call(fd, &shorter, flags);
+  iovec shorter_part = message->msg_iov[0];
+  shorter_part.iov_len = fault_plan().transfer_size(shorter_part.iov_len);
+  msghdr shorter_message = *message;
+  shorter_message.msg_iov = &shorter_part;
+  return call(fd, &shorter_message, flags);
 }
 
 ssize_t write(int fd, const void* buffer, size_t size) {
-  static const auto call = real<ssize_t(int, const void*, size_t)>("write");
+  static const auto call = real_function<ssize_t(int, const void*, size_t)>("write");
   struct stat status {};
   const bool is_file = ::fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
-  const int error = is_file ? plan().error("write", {}) : 0;
-  return error != 0 ? fail(error) : call(fd, buffer, size);
+  const int error = is_file ? fault_plan().next_error("write", {}) : 0;
+  return error != 0 ? fail_with(error) : call(fd, buffer, size);
 }
 
 int fsync(int fd) {
-  static const auto call = real<int(int)>("fsync");
-  const int error = plan().error("fsync", {});
-  return error != 0 ? fail(error) : call(fd);
+  static const auto call = real_function<int(int)>("fsync");
+  const int error = fault_plan().next_error("fsync", {});
+  return error != 0 ? fail_with(error) : call(fd);
 }
 
-int epoll_wait(int fd, epoll_event* events, int most, int timeout) {
-  static const auto call = real<int(int, epoll_event*, int, int)>("epoll_wait");
-  const int error = plan().error("epoll_wait", {EINTR});
-  return error != 0 ? fail(error) : call(fd, events, most, timeout);
+int epoll_wait(int fd, epoll_event* events, int max_events, int timeout) {
+  static const auto call = real_function<int(int, epoll_event*, int, int)>("epoll_wait");
+  const int error = fault_plan().next_error("epoll_wait", {EINTR});
+  return error != 0 ? fail_with(error) : call(fd, events, max_events, timeout);
 }
 
-int clock_gettime(clockid_t clock, timespec* out) {
-  static const auto call = real<int(clockid_t, timespec*)>("clock_gettime");
-  const int result = call(clock, out);
-  if (clock == CLOCK_REALTIME) out->tv_sec += plan().wall_step();
+int clock_gettime(clockid_t clock, timespec* time) {
+  static const auto call = real_function<int(clockid_t, timespec*)>("clock_gettime");
+  const int result = call(clock, time);
+  if (clock == CLOCK_REALTIME) time->tv_sec += fault_plan().wall_step();
   return result;
 }
 
