--- a/tests/counter/counter_client_test.cpp
+++ b/tests/counter/counter_client_test.cpp
@@ -52,15 +52,15 @@
   EXPECT_EQ(reply.outcome, CounterOutcome::kOk);
   EXPECT_DOUBLE_EQ(reply.total, 1.5);
   EXPECT_EQ(reply.name, 9);
-  EXPECT_EQ(counter->calls.at(0), (std::vector<std::string>{"CNT.ADD", "9", "2.5", "4000"}));
+  EXPECT_EQ(counter->commands.at(0), (std::vector<std::string>{"CNT.ADD", "9", "2.5", "4000"}));
   EXPECT_EQ(counter->peers.size(), 1u);
 }
 
 TEST_F(CounterClientTest, ReportsARejectedIncrementAsNotAdded) {
   start_client();
-  counter->answer = "-BUSY later\r\n";
+  counter->raw_reply = "-BUSY later\r\n";
   EXPECT_EQ(increment(1).outcome, CounterOutcome::kNotAdded);
-  counter->answer = "-ERR no such call\r\n";
+  counter->raw_reply = "-ERR no such call\r\n";
   EXPECT_EQ(increment(1).outcome, CounterOutcome::kNotAdded);
 }
 
@@ -78,8 +78,8 @@
   ASSERT_EQ(increment(1).outcome, CounterOutcome::kOk);
   counter->silent = true;
   client->increment({1, 1, 4'000'000});
-  ASSERT_TRUE(run_until(io, [&] { return counter->calls.size() == 2; }));
-  counter->last->reset();
+  ASSERT_TRUE(run_until(io, [&] { return counter->commands.size() == 2; }));
+  counter->last_peer->reset();
   ASSERT_TRUE(run_until(io, [&] { return replies.size() == 2; }));
   EXPECT_EQ(replies[1].outcome, CounterOutcome::kUnknown);
 }
@@ -92,7 +92,7 @@
   EXPECT_EQ(increment(2).outcome, CounterOutcome::kUnknown);
   counter->silent = false;
   client->increment({3, 5, 4'000'000});
-  counter->last->write("$3\r\n222\r\n");  // the reply to increment 2, after its timeout
+  counter->last_peer->write("$3\r\n222\r\n");  // the reply to increment 2, after its timeout
   ASSERT_TRUE(run_until(io, [&] { return replies.size() == 3; }));
   EXPECT_EQ(replies[2].name, 3);
   // Any other outcome means that the test process was suspended for a command timeout.
@@ -131,8 +131,8 @@
   EXPECT_EQ(increment(7).outcome, CounterOutcome::kOk);
   client->reconnect_to(new_counter.address());
   EXPECT_TRUE(reconnects());
-  EXPECT_EQ(counter->calls.size(), 1u);
-  EXPECT_EQ(new_counter.calls.size(), 1u);
+  EXPECT_EQ(counter->commands.size(), 1u);
+  EXPECT_EQ(new_counter.commands.size(), 1u);
 }
 
 TEST_F(CounterClientTest, ReplacesAConnectionAfterAReplyWithoutATotal) {
@@ -141,9 +141,9 @@
     start_client();
     ASSERT_TRUE(reconnects());
     const auto connections_before = counter->peers.size();
-    counter->answer = bytes;
+    counter->raw_reply = bytes;
     EXPECT_EQ(increment(1).outcome, CounterOutcome::kUnknown) << bytes;
-    counter->answer.reset();
+    counter->raw_reply.reset();
     EXPECT_TRUE(reconnects()) << bytes;
     EXPECT_EQ(counter->peers.size(), connections_before + 1) << bytes;
   }
@@ -156,10 +156,10 @@
                             "+OK\r\n", "*2147483647\r\n", "*2\r\n:1\r\n:2\r\n", "$99999999999\r\n",
                             "nonsense\r\n", "$3\r\n1.5\r\n$3\r\n1.5\r\n"}) {
     ASSERT_TRUE(reconnects()) << bytes;
-    counter->answer = bytes;
+    counter->raw_reply = bytes;
     const auto outcome = increment(1).outcome;
     EXPECT_TRUE(outcome == CounterOutcome::kUnknown || std::string(bytes).substr(4, 3) == "1.5") << bytes;
-    counter->answer.reset();
+    counter->raw_reply.reset();
   }
   EXPECT_TRUE(reconnects());
 }
