--- a/src/client/request_reader.cpp
+++ b/src/client/request_reader.cpp
@@ -41,7 +41,7 @@
   Progress progress;
   error_code ec;
   const std::size_t body_size_before = body_.size();
-  const std::size_t consumed = put(*parser_, input_, body_, ec);
+  const std::size_t consumed = feed_parser(*parser_, input_, body_, ec);
   progress.body_bytes = body_.size() - body_size_before;
   consume(consumed);
   if (ec && ec != http::error::need_more) {
--- a/src/counter/counter_client.cpp
+++ b/src/counter/counter_client.cpp
@@ -106,7 +106,7 @@
   }
   if (send_buffer_.empty()) return;
   const auto incarnation = incarnation_.current();
-  write_all(
+  async_write_all(
       socket_, send_buffer_, [this, incarnation] { return incarnation_.is_current(incarnation); },
       [this, incarnation](error_code error, std::size_t size) {
         if (!incarnation_.is_current(incarnation)) return;
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -76,7 +76,7 @@
   request_ = format_watch_request(agent_, needs_complete_list_ ? std::nullopt : std::optional(revision_));
   error_code ignored;
   socket_.non_blocking(true, ignored);
-  write_all(
+  async_write_all(
       socket_, request_, [this, incarnation] { return incarnation_.is_current(incarnation); },
       [this, incarnation](error_code error, std::size_t) {
         if (incarnation_.is_current(incarnation) && error)
--- a/src/network/body_parsing.hpp
+++ b/src/network/body_parsing.hpp
@@ -17,7 +17,8 @@
 // Gives `bytes` to the parser of a message with a buffer_body, appends the decoded part of the body to `body`
 // and returns how many bytes the parser consumed.
 template <typename Parser>
-std::size_t put(Parser& parser, const std::string& bytes, std::string& body, boost::system::error_code& ec) {
+std::size_t feed_parser(Parser& parser, const std::string& bytes, std::string& body,
+                        boost::system::error_code& ec) {
   static thread_local std::vector<char> scratch(kReadSize);
   auto& destination = parser.get().body();
   destination.data = scratch.data();
--- a/src/network/stream_io.hpp
+++ b/src/network/stream_io.hpp
@@ -37,8 +37,8 @@
 // Asio's own async_write waits for an edge after a short write. The edge never comes if the kernel's buffer
 // was not full, as after an interrupted call. A wait for writability checks the present state instead.
 template <typename IsCurrent, typename Done>
-void write_all(boost::asio::ip::tcp::socket& socket, std::string_view bytes, IsCurrent is_current, Done done,
-               std::size_t written = 0) {
+void async_write_all(boost::asio::ip::tcp::socket& socket, std::string_view bytes, IsCurrent is_current,
+                     Done done, std::size_t written = 0) {
   boost::system::error_code ec;
   while (!ec && written < bytes.size())
     written += write_available(socket, boost::asio::buffer(bytes.substr(written)), ec);
@@ -52,7 +52,7 @@
                      done = std::move(done)](boost::system::error_code failed) mutable {
                       if (!is_current()) return;
                       if (failed) return done(failed, written);
-                      write_all(socket, bytes, std::move(is_current), std::move(done), written);
+                      async_write_all(socket, bytes, std::move(is_current), std::move(done), written);
                     });
 }
 
--- a/src/upstream/response_reader.cpp
+++ b/src/upstream/response_reader.cpp
@@ -72,7 +72,7 @@
   unparsed_.append(bytes);
   while (!unparsed_.empty() && !parser_->is_done()) {
     error_code error;
-    const std::size_t consumed = put(*parser_, unparsed_, body_, error);
+    const std::size_t consumed = feed_parser(*parser_, unparsed_, body_, error);
     unparsed_.erase(0, consumed);
     if (error && error != http::error::need_more) return Status::kInvalid;
     if (parser_->is_header_done()) {
