--- a/src/admin/admin_handlers.hpp
+++ b/src/admin/admin_handlers.hpp
@@ -1,4 +1,4 @@
-// What the admin calls need from the gateway.
+// The functions of the gateway that the admin server calls.
 #pragma once
 
 #include <functional>
@@ -10,14 +10,14 @@
 enum class DisableResult {
   kDone,
   kUnknownEndpoint,
-  kNotStored  // the change could not be written to the file that keeps it over a restart
+  kNotStored  // the change could not be written to the file that preserves it across restarts
 };
 
-// The coordinator provides these functions; they must outlive the server's sessions.
+// Provided by the coordinator. Must outlive the sessions of the admin server.
 struct AdminHandlers {
   std::function<bool()> is_ready;
   std::function<std::string()> metrics_json;
-  // Disables or enables an endpoint and reports the outcome to `on_result` once.
+  // Disables or enables an endpoint and then calls `on_result` once with the outcome.
   std::function<void(const std::string& endpoint, bool disabled,
                      std::function<void(DisableResult)> on_result)>
       set_disabled;
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-// Listening, accepting and the limits on admin sessions.
+// Listening, accepting connections and limiting the admin sessions.
 #include "admin/admin_server.hpp"
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t kMaxSessions = 16;         // bounds the descriptors in use
+constexpr std::size_t kMaxSessions = 16;         // limits the file descriptors in use
 constexpr Duration kSessionTimeout = 3'000'000;  // us, from accept to the end of the response
 constexpr Duration kRetryInterval = 200'000;     // us, after a failed listen or accept
 
@@ -42,7 +42,7 @@
   if (!error) acceptor_.set_option(tcp::acceptor::reuse_address(true), error);
   if (!error) acceptor_.bind(address, error);
   if (!error) acceptor_.listen(tcp::acceptor::max_listen_connections, error);
-  // The accept loop handles aborted connections itself.
+  // Reports aborted connections to the handler in accept(), which continues with the next connection.
   if (!error) acceptor_.set_option(asio::socket_base::enable_connection_aborted(true), error);
   return error;
 }
@@ -58,7 +58,7 @@
   });
 }
 
-// Starts a session. When all are taken, the oldest one is closed, so that stalled callers keep nobody out.
+// Starts a session. At the limit, closes the oldest one first, so that stalled callers cannot block others.
 void AdminServer::on_accepted(tcp::socket socket) {
   if (sessions_.size() >= kMaxSessions) {
     const std::shared_ptr<AdminSession> oldest = sessions_.front();
@@ -69,8 +69,8 @@
         sessions_.remove_if([&closed](const auto& candidate) { return candidate.get() == &closed; });
       });
   sessions_.push_back(session);
-  timers_.schedule_after(kSessionTimeout, [expiring = std::weak_ptr<AdminSession>(session)] {
-    if (const auto expired = expiring.lock()) expired->close();
+  timers_.schedule_after(kSessionTimeout, [weak_session = std::weak_ptr<AdminSession>(session)] {
+    if (const auto timed_out = weak_session.lock()) timed_out->close();
   });
   session->start();
 }
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,5 +1,5 @@
-// The admin server: readiness, metrics, and endpoints disabled by the operators. It listens on an address of
-// its own, so that clients can't delay it, and serves one request per connection.
+// The admin server: reports readiness and metrics, and lets operators disable and enable endpoints. It
+// listens on its own address, so that clients cannot delay it, and serves one request per connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,7 +14,7 @@
 
 class AdminSession;
 
-// Accepts connections and limits the number and the duration of the sessions.
+// Accepts connections and limits the number of sessions and the duration of each.
 class AdminServer {
  public:
   AdminServer(boost::asio::io_context& io, Timers& timers, AdminHandlers handlers);
@@ -24,8 +24,8 @@
   AdminServer& operator=(AdminServer&&) = delete;
   ~AdminServer();
 
-  // Begins to accept connections. Retries while the address is in use, because the clients' traffic must not
-  // depend on the admin server.
+  // Starts to accept connections. Retries on failure, such as an address in use, because client traffic must
+  // not depend on the admin server.
   void listen(const boost::asio::ip::tcp::endpoint& address);
 
   [[nodiscard]] boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
--- a/src/admin/admin_session.cpp
+++ b/src/admin/admin_session.cpp
@@ -19,13 +19,13 @@
 constexpr std::string_view kMetricsPath = "/-/metrics";
 constexpr std::string_view kEndpointsPrefix = "/-/booking-servers/";
 
-// A request to disable or enable one endpoint.
+// A call that disables or enables one endpoint.
 struct DisableRequest {
   std::string endpoint;
   bool disabled = false;
 };
 
-// Parses a path such as `/-/booking-servers/ID/disable`; none for any other path.
+// Parses a path such as `/-/booking-servers/ID/disable`. Returns std::nullopt for any other path.
 std::optional<DisableRequest> parse_disable_path(std::string_view path) {
   if (!path.starts_with(kEndpointsPrefix)) return std::nullopt;
   const auto last_slash = path.rfind('/');
@@ -37,7 +37,7 @@
   return DisableRequest{.endpoint = std::string(endpoint), .disabled = operation == "disable"};
 }
 
-// True for bytes that are not HTTP, as opposed to a failed or finished connection.
+// Returns whether the received bytes are not valid HTTP, as opposed to a failed or closed connection.
 bool is_malformed_request(const error_code& error) {
   const auto& http_category = http::make_error_code(http::error::bad_method).category();
   return error.category() == http_category && error != http::error::end_of_stream;
@@ -97,7 +97,7 @@
                          [self = shared_from_this()](DisableResult result) { self->respond_with(result); });
 }
 
-// Rejects a request with another method and returns false.
+// Returns whether the request has the given method; rejects it if not.
 bool AdminSession::require_method(http::verb method) {
   if (parser_.get().method() == method) return true;
   response_.set(http::field::allow, http::to_string(method));
--- a/src/admin/admin_session.hpp
+++ b/src/admin/admin_session.hpp
@@ -1,4 +1,4 @@
-// One connection of the admin server: reads one request, calls the handler and writes the response.
+// A connection to the admin server: reads one request, calls its handler and writes the response.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -13,10 +13,10 @@
 
 namespace quota_gateway::net {
 
-// Lives as long as an operation of its own is pending or the server lists it.
+// Kept alive by its pending operations and by the server's list of sessions.
 class AdminSession : public std::enable_shared_from_this<AdminSession> {
  public:
-  // Called each time the session is closed; it may be closed more than once.
+  // Called by every close(), which may be called more than once.
   using CloseCallback = std::function<void(const AdminSession&)>;
 
   AdminSession(boost::asio::ip::tcp::socket socket, const AdminHandlers& handlers, CloseCallback on_closed);
--- a/src/network/body_budget.hpp
+++ b/src/network/body_budget.hpp
@@ -6,22 +6,23 @@
 
 namespace quota_gateway::net {
 
-// A body up to this size is buffered and can be sent again; of a larger one, as much may wait at a time.
+// A body of at most this size is buffered whole, so that it can be sent again. A larger one is streamed, with
+// at most about this much of it buffered at a time.
 constexpr std::size_t kBufferedBodyLimit = 64 << 10;  // bytes
-// Replaces kBufferedBodyLimit while all buffered bodies together exceed the budget.
+// Replaces kBufferedBodyLimit while the buffered bytes of all connections reach or exceed the budget.
 constexpr std::size_t kBufferedBodyLimitUnderPressure = 4 << 10;  // bytes
-// Twice the largest body that is expected.
+// The limit for any body: twice the largest one expected.
 constexpr std::uint64_t kMaxBodySize = 64 << 20;  // bytes
 
-// Counts the buffered bytes of all connections and derives the limit of each from the total.
+// Counts the buffered bytes of all connections and derives the limit per message from the total.
 class BodyBudget {
  public:
   explicit BodyBudget(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // How many bytes of its body a single message may buffer now.
+  // Returns how many bytes of its body a single message may buffer at present.
   [[nodiscard]] std::size_t buffered_body_limit() const;
 
-  // The bytes that one connection has buffered; they are returned to the budget on destruction.
+  // The bytes that one connection has buffered. Releases them to the budget on destruction.
   class Share {
    public:
     explicit Share(BodyBudget& budget) : budget_(budget) {}
@@ -31,7 +32,7 @@
     Share& operator=(Share&&) = delete;
     ~Share();
 
-    // Reports the present number of buffered bytes.
+    // Sets the number of bytes that are buffered now.
     void set(std::size_t bytes);
 
    private:
--- a/src/network/body_parsing.hpp
+++ b/src/network/body_parsing.hpp
@@ -1,4 +1,4 @@
-// Feeds received bytes to an HTTP parser that leaves the body to its caller.
+// Feeds received bytes to an HTTP parser that leaves storing the body to its caller.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -11,11 +11,11 @@
 
 namespace quota_gateway::net {
 
-// Size of one read. The buffer for it is shared by all connections of a module.
+// Maximum size of one read from a socket. All connections of a module share one buffer of this size.
 constexpr std::size_t kReadSize = 32 << 10;  // bytes
 
-// Gives `bytes` to the parser of a message with a buffer_body, appends the decoded part of the body to `body`
-// and returns how many bytes the parser consumed.
+// Passes `bytes` to the parser of a message with a buffer_body and appends the decoded body data to `body`.
+// Returns how many bytes the parser consumed.
 template <typename Parser>
 std::size_t feed_parser(Parser& parser, const std::string& bytes, std::string& body,
                         boost::system::error_code& ec) {
--- a/src/network/body_transfer.hpp
+++ b/src/network/body_transfer.hpp
@@ -1,4 +1,5 @@
-// All that connections use to transfer message bodies: the memory budget, streamed uploads and the parser.
+// Everything that connections use to transfer message bodies: the memory budget, body parsing and streamed
+// uploads.
 #pragma once
 
 #include "network/body_budget.hpp"   // IWYU pragma: export
--- a/src/network/outgoing_request.hpp
+++ b/src/network/outgoing_request.hpp
@@ -8,7 +8,7 @@
 
 namespace quota_gateway::net {
 
-// The same for each attempt of a request.
+// The content that all attempts of a request have in common.
 struct OutgoingRequest {
   std::string method;
   std::string target;
@@ -16,7 +16,7 @@
   std::string trace_id;
   std::string idempotency_key;
   std::string body;
-  std::shared_ptr<BodyUpload> upload;  // in place of a body that is too large to buffer
+  std::shared_ptr<BodyUpload> upload;  // replaces `body` if that is too large to buffer; otherwise null
 };
 
 }  // namespace quota_gateway::net
--- a/src/network/reconnect_backoff.cpp
+++ b/src/network/reconnect_backoff.cpp
@@ -1,4 +1,3 @@
-// The growth of the reconnect delay and the rate limit of the log.
 #include "network/reconnect_backoff.hpp"
 
 #include <algorithm>
@@ -7,7 +6,7 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr Duration kLogInterval = 10'000'000;  // us
+constexpr Duration kLogInterval = 10'000'000;  // us between two lines of one subsystem
 
 }  // namespace
 
--- a/src/network/reconnect_backoff.hpp
+++ b/src/network/reconnect_backoff.hpp
@@ -1,5 +1,5 @@
-// What clients with one permanent connection share to reconnect it: the delay between attempts, the telling
-// apart of successive connections, and a log that a failing peer can't flood.
+// Helpers for clients that keep one connection open and reconnect when it is lost: the delay before each
+// attempt, IDs of successive connections, and a log that a failing peer cannot flood.
 #pragma once
 
 #include <cstdint>
@@ -10,36 +10,36 @@
 
 namespace quota_gateway::net {
 
-// The delay before each attempt to reconnect. The first attempt is made at once; then the delay doubles with
-// each one until `reset`.
+// Exponential backoff for reconnecting. The first attempt is made at once; after that, the delay doubles with
+// each attempt until reset() is called.
 class ReconnectBackoff {
  public:
-  // Bounds of the delay before the next but one attempt.
+  // The range of the delay that next_delay() computes for the attempt after the next one.
   struct Limits {
     Duration min = 0;
     Duration max = 0;
   };
 
-  // Returns the delay before the next attempt and raises the one after it, within `limits`.
+  // Returns the delay before the next attempt. Doubles it for the attempt after that, within `limits`.
   Duration next_delay(const Limits& limits);
 
   // Sets the delay before the next attempt.
   void set_delay(Duration delay) { delay_ = delay; }
 
-  // The peer is in order again, or another one: the next attempt is made at once.
+  // Makes the next attempt immediate, for when the peer has recovered or has been replaced by another one.
   void reset() { delay_ = 0; }
 
  private:
   Duration delay_ = 0;
 };
 
-// Numbers the successive incarnations of a connection. A completion handler that belongs to an earlier one
-// must not touch the present one.
+// Numbers the successive incarnations of a connection, so that a completion handler of an earlier incarnation
+// can tell that it must not touch the current one.
 class ConnectionIncarnation {
  public:
   using Id = std::uint64_t;
 
-  // Begins a new incarnation, which makes all earlier ones obsolete, and returns its id.
+  // Starts a new incarnation, which makes all earlier ones obsolete, and returns its ID.
   Id begin() { return ++current_; }
 
   [[nodiscard]] Id current() const { return current_; }
@@ -49,7 +49,7 @@
   Id current_ = 0;
 };
 
-// Writes the log lines of one subsystem, at most one in each interval; the others are dropped.
+// Writes the log lines of one subsystem to standard error, at most one per 10 s, and drops the others.
 class RateLimitedLog {
  public:
   explicit RateLimitedLog(std::string subsystem) : subsystem_(std::move(subsystem)) {}
--- a/src/network/stream_io.hpp
+++ b/src/network/stream_io.hpp
@@ -1,4 +1,4 @@
-// Reads and writes of stream sockets that go on after interrupted and short system calls.
+// Reads and writes of TCP sockets that continue after interrupted and partial system calls.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -11,7 +11,7 @@
 
 namespace quota_gateway::net {
 
-// read_some() that goes on when a signal interrupts it.
+// Like read_some(), but retries when a signal interrupts the call.
 template <typename Buffers>
 std::size_t read_available(boost::asio::ip::tcp::socket& socket, const Buffers& buffers,
                            boost::system::error_code& ec) {
@@ -21,7 +21,7 @@
   return size;
 }
 
-// write_some() that goes on when a signal interrupts it.
+// Like write_some(), but retries when a signal interrupts the call.
 template <typename Buffers>
 std::size_t write_available(boost::asio::ip::tcp::socket& socket, const Buffers& buffers,
                             boost::system::error_code& ec) {
@@ -31,11 +31,13 @@
   return size;
 }
 
-// Writes all of `bytes`, which the caller keeps alive, to a non-blocking socket, and then calls `done(error,
-// size)`, never from within this call. Stops without a call once `is_current` returns false.
+// Writes all of `bytes`, which the caller keeps alive, to a non-blocking socket, starting after the first
+// `written` bytes. Then calls `done(error, written)`, never from within this call. Once `is_current` returns
+// false, stops without calling `done`.
 //
-// Asio's own async_write waits for an edge after a short write. The edge never comes if the kernel's buffer
-// was not full, as after an interrupted call. A wait for writability checks the present state instead.
+// Does not use Asio's async_write, which waits for an edge-triggered event after a partial write. That event
+// never comes if the kernel's send buffer was not full, as after an interrupted call. async_wait checks the
+// current state instead.
 template <typename IsCurrent, typename Done>
 void async_write_all(boost::asio::ip::tcp::socket& socket, std::string_view bytes, IsCurrent is_current,
                      Done done, std::size_t written = 0) {
@@ -49,9 +51,9 @@
   }
   socket.async_wait(boost::asio::ip::tcp::socket::wait_write,
                     [&socket, bytes, written, is_current = std::move(is_current),
-                     done = std::move(done)](boost::system::error_code failed) mutable {
+                     done = std::move(done)](boost::system::error_code wait_error) mutable {
                       if (!is_current()) return;
-                      if (failed) return done(failed, written);
+                      if (wait_error) return done(wait_error, written);
                       async_write_all(socket, bytes, std::move(is_current), std::move(done), written);
                     });
 }
--- a/src/network/system_errors.hpp
+++ b/src/network/system_errors.hpp
@@ -1,4 +1,4 @@
-// Classifies the errors of system calls: which ones pass by themselves, and what to do meanwhile.
+// Classifies the errors of system calls by how the caller should continue.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -6,12 +6,12 @@
 
 namespace quota_gateway::net {
 
-// What a failed accept means for the calls after it.
+// The cause of a failed accept, which decides when the next one is worth trying.
 enum class AcceptFailure {
-  kCancelled,       // by ourselves
-  kConnectionLost,  // that one connection; the next in the backlog can be taken at once
-  kNoDescriptors,   // this process has used up its own
-  kTransient        // the system is short of something; worth another try a little later
+  kCancelled,       // by this process
+  kConnectionLost,  // only this connection failed; the next one in the backlog can be accepted at once
+  kNoDescriptors,   // this process has reached its limit of file descriptors
+  kTransient        // such as a lack of system resources; retry after a short delay
 };
 
 inline AcceptFailure classify_accept(const boost::system::error_code& ec) {
@@ -20,7 +20,7 @@
       return AcceptFailure::kCancelled;
     case EMFILE:
       return AcceptFailure::kNoDescriptors;
-    // Network errors that accept(2) reports for the connection it would have returned.
+    // Network errors that accept(2) reports for the connection that it would have returned.
     case ECONNABORTED:
     case EPROTO:
     case ENOPROTOOPT:
@@ -38,7 +38,7 @@
   }
 }
 
-// True for errors of socket() and connect() that lie with this machine and not with the peer.
+// Returns whether an error of socket() or connect() is caused by this machine and not by the peer.
 inline bool is_local_connect_failure(const boost::system::error_code& ec) {
   switch (ec.value()) {
     case EADDRNOTAVAIL:
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the admin server of a complete gateway: its calls, its limits, and the metrics.
+// Tests of the admin server in a complete gateway: its calls, its session limits and the metrics.
 #include <gtest/gtest.h>
 #include <stdlib.h>
 #include <unistd.h>
@@ -14,12 +14,12 @@
  protected:
   AdminServerTest() {
     rig.config.admin_address = {asio::ip::address_v4::loopback(), 0};
-    rig.add_endpoint(discovered_endpoint("s1", s1));
+    rig.add_endpoint(discovered_endpoint("s1", endpoint_s1));
   }
 
   Client connect() { return {rig.io, rig.coordinator->admin_address()}; }
 
-  // Makes a call on a connection of its own.
+  // Makes one call on a new connection.
   http::response<http::string_body> call(const std::string& method, const std::string& target) {
     Client client = connect();
     client.send(method + " " + target + " HTTP/1.1\r\nHost: n0\r\n\r\n");
@@ -31,10 +31,10 @@
   nlohmann::json metrics() { return nlohmann::json::parse(call("GET", "/-/metrics").body()); }
 
   Rig rig;
-  FakeEndpoint s1{rig.io};
+  FakeEndpoint endpoint_s1{rig.io};
 };
 
-TEST_F(AdminServerTest, IsReadyUntilItDrains) {
+TEST_F(AdminServerTest, IsReadyUntilDraining) {
   Coordinator& coordinator = rig.start();
   EXPECT_EQ(call("GET", "/-/ready").result_int(), 200u);
   coordinator.drain([] {});
@@ -56,7 +56,7 @@
   EXPECT_EQ(response->result_int(), 400u);
 }
 
-TEST_F(AdminServerTest, StalledConnectionsKeepNobodyOut) {
+TEST_F(AdminServerTest, StalledConnectionsDoNotBlockNewOnes) {
   rig.start();
   std::deque<Client> stalled;
   for (int i = 0; i < 50; ++i) {
@@ -64,13 +64,13 @@
     stalled.back().send("GET /-/rea");
   }
   EXPECT_EQ(call("GET", "/-/ready").result_int(), 200u);
-  EXPECT_TRUE(stalled.front().closed_by_peer());  // the oldest session made room
-  EXPECT_TRUE(stalled.back().closed_by_peer());   // by the session timeout
+  EXPECT_TRUE(stalled.front().closed_by_peer());  // to make room, as the oldest session
+  EXPECT_TRUE(stalled.back().closed_by_peer());   // on the session timeout
 }
 
-TEST_F(AdminServerTest, MetricsCountEachResponseAndEachAttemptOnce) {
+TEST_F(AdminServerTest, MetricsCountEachResponseAndAttemptOnce) {
   std::shared_ptr<Peer> pending;
-  s1.on_request = [&](Peer& peer, const HttpRequest& request) {
+  endpoint_s1.on_request = [&](Peer& peer, const HttpRequest& request) {
     if (request["X-Trace-Id"] == "pending") {
       pending = peer.shared_from_this();
     } else {
@@ -91,7 +91,7 @@
   EXPECT_EQ(values["passed"]["intro-request"], 0);
   EXPECT_EQ(values["dropped"]["intro-request"].get<int>() + values["bad_gateway"]["intro-request"].get<int>(),
             1);
-  EXPECT_EQ(values["upstream_tries"], s1.requests.size());
+  EXPECT_EQ(values["upstream_tries"], endpoint_s1.requests.size());
   EXPECT_EQ(values["in_progress"], 1);
   EXPECT_EQ(values["known_booking_servers"], 1);
   EXPECT_EQ(values["skipped_booking_servers"], 0);
@@ -100,9 +100,10 @@
   EXPECT_EQ(metrics()["in_progress"], 0);
 }
 
-TEST_F(AdminServerTest, ADisabledEndpointGetsNoRequestsUntilItIsEnabledWhateverDiscoveryReports) {
-  FakeEndpoint s2(rig.io);
-  rig.add_endpoint(discovered_endpoint("s2", s2));
+// A discovery update that lists a disabled endpoint as up does not enable it.
+TEST_F(AdminServerTest, DisabledEndpointGetsNoRequestsUntilEnabled) {
+  FakeEndpoint endpoint_s2(rig.io);
+  rig.add_endpoint(discovered_endpoint("s2", endpoint_s2));
   rig.start();
   EXPECT_EQ(call("POST", "/-/booking-servers/nobody/disable").result_int(), 404u);
   EXPECT_EQ(call("POST", "/-/booking-servers/s1/disable").result_int(), 200u);
@@ -111,30 +112,31 @@
   ASSERT_TRUE(rig.run_until(
       [&] { return rig.discovery.peers.size() == 1 && !rig.discovery.requested_targets.empty(); }));
   rig.discovery.send_update(update_json(42, true,
-                                        endpoint_json("s1", s1.address_text(), "up", 5) + "," +
-                                            endpoint_json("s2", s2.address_text()) + "," +
-                                            endpoint_json("s3", s2.address_text())));
+                                        endpoint_json("s1", endpoint_s1.address_text(), "up", 5) + "," +
+                                            endpoint_json("s2", endpoint_s2.address_text()) + "," +
+                                            endpoint_json("s3", endpoint_s2.address_text())));
   ASSERT_TRUE(rig.run_until([&] { return metrics()["known_booking_servers"] == 3; }));
   Client client = rig.client();
-  const auto serve = [&](const std::string& id) {
+  const auto send_and_receive = [&](const std::string& id) {
     client.send(get_request(id));
     ASSERT_TRUE(client.receive());
   };
-  for (int i = 0; i < 30; ++i) serve("a" + std::to_string(i));
-  EXPECT_TRUE(s1.requests.empty());
+  for (int i = 0; i < 30; ++i) send_and_receive("a" + std::to_string(i));
+  EXPECT_TRUE(endpoint_s1.requests.empty());
   EXPECT_EQ(call("POST", "/-/booking-servers/s1/enable").result_int(), 200u);
   EXPECT_EQ(metrics()["skipped_booking_servers"], 0);
   EXPECT_EQ(call("POST", "/-/booking-servers/s2/disable").result_int(), 200u);
   EXPECT_EQ(call("POST", "/-/booking-servers/s3/disable").result_int(), 200u);
-  serve("b");
-  EXPECT_EQ(s1.requests.size(), 1u);
+  send_and_receive("b");
+  EXPECT_EQ(endpoint_s1.requests.size(), 1u);
 }
 
-TEST_F(AdminServerTest, DisabledEndpointsSurviveARestartApplyToOtherGatewaysAndIgnoreATornFile) {
-  char name[] = "/tmp/quota-gateway-test-XXXXXX";
-  ASSERT_NE(::mkdtemp(name), nullptr);
-  const std::string file = std::string(name) + "/disabled.json";
-  rig.config.shared_directory = name;
+// A partly written file changes nothing.
+TEST_F(AdminServerTest, DisabledEndpointsSurviveRestartAndAreSharedThroughFile) {
+  char directory[] = "/tmp/quota-gateway-test-XXXXXX";
+  ASSERT_NE(::mkdtemp(directory), nullptr);
+  const std::string path = std::string(directory) + "/disabled.json";
+  rig.config.shared_directory = directory;
   rig.start();
   EXPECT_EQ(call("POST", "/-/booking-servers/s1/disable").result_int(), 200u);
   rig.coordinator.reset();
@@ -144,15 +146,15 @@
   Clock clock;
   Timers timers(rig.io, clock);
   DisabledEndpoints other_gateway(
-      timers, name, [&](const std::string& id, bool disabled) { changes.emplace_back(id, disabled); });
+      timers, directory, [&](const std::string& id, bool disabled) { changes.emplace_back(id, disabled); });
   other_gateway.start();
   ASSERT_EQ(changes.size(), 1u);
-  std::ofstream(file) << "[\"s1";
+  std::ofstream(path) << "[\"s1";
   EXPECT_EQ(metrics()["skipped_booking_servers"], 1);
   other_gateway.set("s1", false, [](bool stored) { EXPECT_TRUE(stored); });
   ASSERT_TRUE(rig.run_until([&] { return metrics()["skipped_booking_servers"] == 0; }));
-  ::unlink(file.c_str());
-  ::rmdir(name);
+  ::unlink(path.c_str());
+  ::rmdir(directory);
 }
 
 }  // namespace
