--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -78,7 +78,7 @@
       format_watch_request(agent_address_, needs_complete_list_ ? std::nullopt : std::optional(revision_));
   error_code ignored;
   socket_.non_blocking(true, ignored);
-  write_all(
+  async_write_all(
       socket_, request_, [this, incarnation] { return incarnation_.is_current(incarnation); },
       [this, incarnation](error_code error, std::size_t) {
         if (incarnation_.is_current(incarnation) && error)
