--- a/include/quota_gateway/settings.hpp
+++ b/include/quota_gateway/settings.hpp
@@ -8,11 +8,11 @@
 
 namespace quota_gateway {
 
-// Whether a request may be executed twice. kByKey: only where endpoints recognise the same idempotency key
+// Whether a request may be executed twice. kByKey: only where endpoints recognize the same idempotency key
 // (see DedupScope).
 enum class Idempotency { kIdempotent, kByKey, kNonIdempotent };
 
-// The set of endpoints that recognise the same idempotency key.
+// The set of endpoints that recognize the same idempotency key.
 enum class DedupScope { kAll, kZone, kCell };
 
 // One class of requests.
@@ -24,7 +24,7 @@
   double late_weight_fraction = 0;  // of the weight, earned after the objective but before the deadline
   Idempotency idempotency = Idempotency::kNonIdempotent;
   DedupScope dedup_scope = DedupScope::kCell;
-  Duration dedup_window = 0;  // how long an endpoint recognises an idempotency key
+  Duration dedup_window = 0;  // how long an endpoint recognizes an idempotency key
   bool streamed = false;
 };
 
--- a/src/client/client_listener.hpp
+++ b/src/client/client_listener.hpp
@@ -49,7 +49,7 @@
   void write_chunk(std::uint64_t client_id, const std::string& bytes);
   // Ends a streamed response after its last chunk.
   void finish_response(std::uint64_t client_id);
-  // Ends a streamed response early, closing the connection in a way that the client recognises as an error.
+  // Ends a streamed response early, closing the connection in a way that the client recognizes as an error.
   void abort_response(std::uint64_t client_id);
 
   // Closes idle connections and leaves new ones on the inherited socket to the successor process.
--- a/src/client/response_writer.hpp
+++ b/src/client/response_writer.hpp
@@ -1,4 +1,4 @@
-// Serialises responses and writes them to a client's socket.
+// Serializes responses and writes them to a client's socket.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,7 +17,7 @@
 enum class ResponseFraming { kContentLength, kChunked, kUntilClose };
 
 // Returns the framing of a response with this length, if known. Chunked encoding requires HTTP/1.1; an older
-// client recognises the end of a response without a length by the close of the connection.
+// client recognizes the end of a response without a length by the close of the connection.
 ResponseFraming select_framing(std::optional<std::uint64_t> length, unsigned http_version);
 
 // The connection whose responses are written.
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -7,7 +7,7 @@
 
 constexpr Duration kMaxWriteDelay = 150'000;  // us from reading the clock to writing to the socket
 
-// Returns whether both endpoints recognise the same idempotency key.
+// Returns whether both endpoints recognize the same idempotency key.
 bool are_in_same_dedup_scope(const ClassSettings& request_class, const EndpointEntry& first,
                              const EndpointEntry& second) {
   switch (request_class.dedup_scope) {
@@ -21,7 +21,7 @@
   return false;
 }
 
-// Returns whether an attempt sent now arrives while the endpoint still recognises the earlier attempt's key.
+// Returns whether an attempt sent now arrives while the endpoint still recognizes the earlier attempt's key.
 bool is_within_dedup_window(const DecisionContext& context, const ClassSettings& request_class,
                             const Attempt& earlier) {
   const Settings& settings = context.settings();
