--- a/src/client/client_callbacks.hpp
+++ b/src/client/client_callbacks.hpp
@@ -9,9 +9,9 @@
 
 namespace quota_gateway::net {
 
-// `client_id` identifies a client's connection; `request_id` is the id that on_request() returned.
+// `client_id` identifies a client's connection; `request_id` is the ID that on_request() returned.
 struct ClientCallbacks {
-  // Takes over a client's request and returns its id.
+  // Takes over a client's request and returns its ID.
   std::function<std::uint64_t(std::uint64_t client_id, ClientRequest)> on_request;
   // The streamed body is complete. Its last byte was not yet sent at `last_byte_pending_since`.
   std::function<void(std::uint64_t request_id, TimePoint last_byte_pending_since)> on_body_complete;
--- a/tests/decision/hot_restart_state_test.cpp
+++ b/tests/decision/hot_restart_state_test.cpp
@@ -24,7 +24,7 @@
 
 TEST_F(HotRestartStateTest, SuccessorKeepsConsumedTokensAndPredecessorStopsAdmitting) {
   start_processes();
-  EXPECT_EQ(predecessor->burst(kMillisecond, 6), 6);  // of its even share of the burst, which is ten
+  EXPECT_EQ(predecessor->burst(kMillisecond, 6), 6);  // of its equal share of the burst, which is ten
   restart(2 * kMillisecond);
   EXPECT_EQ(predecessor->burst(3 * kMillisecond, 5), 0);
   EXPECT_EQ(successor->burst(3 * kMillisecond, 10), 4);
@@ -42,7 +42,7 @@
 
 TEST_F(HotRestartStateTest, PredecessorAttemptsCountTowardsConcurrencyCapUntilTheyEnd) {
   settings.plans[0].rate = settings.plans[0].burst = 1000;
-  settings.plans[0].max_concurrent_attempts = 4;  // this gateway's even share is two
+  settings.plans[0].max_concurrent_attempts = 4;  // this gateway's equal share is two
   start_processes();
   EXPECT_EQ(actions_of<SendAttempt>(predecessor->arrive(kMillisecond, "x")).size(), 1u);
   restart(2 * kMillisecond);
