--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -14,7 +14,7 @@
  protected:
   AdminServerTest() {
     rig.config.admin_address = {asio::ip::address_v4::loopback(), 0};
-    rig.add_endpoint(discovered_endpoint("s1", endpoint_s1));
+    rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   }
 
   Client connect() { return {rig.io, rig.coordinator->admin_address()}; }
@@ -31,7 +31,7 @@
   nlohmann::json metrics() { return nlohmann::json::parse(call("GET", "/-/metrics").body()); }
 
   GatewayRig rig;
-  FakeEndpoint endpoint_s1{rig.io};
+  FakeEndpoint first_endpoint{rig.io};
 };
 
 TEST_F(AdminServerTest, IsReadyUntilDraining) {
@@ -70,7 +70,7 @@
 
 TEST_F(AdminServerTest, MetricsCountEachResponseAndAttemptOnce) {
   std::shared_ptr<Peer> pending;
-  endpoint_s1.on_request = [&](Peer& peer, const HttpRequest& request) {
+  first_endpoint.on_request = [&](Peer& peer, const HttpRequest& request) {
     if (request["X-Trace-Id"] == "pending") {
       pending = peer.shared_from_this();
     } else {
@@ -91,7 +91,7 @@
   EXPECT_EQ(values["passed"]["intro-request"], 0);
   EXPECT_EQ(values["dropped"]["intro-request"].get<int>() + values["bad_gateway"]["intro-request"].get<int>(),
             1);
-  EXPECT_EQ(values["upstream_tries"], endpoint_s1.requests.size());
+  EXPECT_EQ(values["upstream_tries"], first_endpoint.requests.size());
   EXPECT_EQ(values["in_progress"], 1);
   EXPECT_EQ(values["known_booking_servers"], 1);
   EXPECT_EQ(values["skipped_booking_servers"], 0);
@@ -102,8 +102,8 @@
 
 // A discovery update that lists a disabled endpoint as up does not enable it.
 TEST_F(AdminServerTest, DisabledEndpointGetsNoRequestsUntilEnabled) {
-  FakeEndpoint endpoint_s2(rig.io);
-  rig.add_endpoint(discovered_endpoint("s2", endpoint_s2));
+  FakeEndpoint second_endpoint(rig.io);
+  rig.add_endpoint(discovered_endpoint("s2", second_endpoint));
   rig.start();
   EXPECT_EQ(call("POST", "/-/booking-servers/nobody/disable").result_int(), 404u);
   EXPECT_EQ(call("POST", "/-/booking-servers/s1/disable").result_int(), 200u);
@@ -112,9 +112,9 @@
   ASSERT_TRUE(rig.run_until(
       [&] { return rig.discovery.peers.size() == 1 && !rig.discovery.requested_targets.empty(); }));
   rig.discovery.send_update(update_json(42, true,
-                                        endpoint_json("s1", endpoint_s1.address_text(), "up", 5) + "," +
-                                            endpoint_json("s2", endpoint_s2.address_text()) + "," +
-                                            endpoint_json("s3", endpoint_s2.address_text())));
+                                        endpoint_json("s1", first_endpoint.address_text(), "up", 5) + "," +
+                                            endpoint_json("s2", second_endpoint.address_text()) + "," +
+                                            endpoint_json("s3", second_endpoint.address_text())));
   ASSERT_TRUE(rig.run_until([&] { return metrics()["known_booking_servers"] == 3; }));
   Client client = rig.client();
   const auto send_and_receive = [&](const std::string& id) {
@@ -122,13 +122,13 @@
     ASSERT_TRUE(client.receive());
   };
   for (int i = 0; i < 30; ++i) send_and_receive("a" + std::to_string(i));
-  EXPECT_TRUE(endpoint_s1.requests.empty());
+  EXPECT_TRUE(first_endpoint.requests.empty());
   EXPECT_EQ(call("POST", "/-/booking-servers/s1/enable").result_int(), 200u);
   EXPECT_EQ(metrics()["skipped_booking_servers"], 0);
   EXPECT_EQ(call("POST", "/-/booking-servers/s2/disable").result_int(), 200u);
   EXPECT_EQ(call("POST", "/-/booking-servers/s3/disable").result_int(), 200u);
   send_and_receive("b");
-  EXPECT_EQ(endpoint_s1.requests.size(), 1u);
+  EXPECT_EQ(first_endpoint.requests.size(), 1u);
 }
 
 // A partly written file changes nothing.
--- a/tests/client/client_disconnect_test.cpp
+++ b/tests/client/client_disconnect_test.cpp
@@ -34,7 +34,7 @@
   }
   void disconnect_during_connect(const std::string& request);
   GatewayRig rig;
-  FakeEndpoint s1{rig.io};
+  FakeEndpoint first_endpoint{rig.io};
 };
 INSTANTIATE_TEST_SUITE_P(AllowCancel, ClientDisconnectTest, ::testing::Bool());
 
@@ -47,9 +47,9 @@
     run_for(rig.io, 20);
   }
   run_for(rig.io, kDisconnectProcessingTime);
-  rig.discovery.send_update(update_json(42, false, endpoint_json("s1", s1.address_text())));
+  rig.discovery.send_update(update_json(42, false, endpoint_json("s1", first_endpoint.address_text())));
   run_for(rig.io, 20);
-  expect_only_next_request_forwarded(s1);
+  expect_only_next_request_forwarded(first_endpoint);
 }
 
 TEST_P(ClientDisconnectTest, DropsRequestWaitingForCounter) {
@@ -58,7 +58,7 @@
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 1'000'000;
   rig.config.counter_address = counter.address();
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   {
     Client client = rig.client();
@@ -66,10 +66,10 @@
     ASSERT_TRUE(rig.run_until([&] { return counter.commands.size() == 1; }));
   }
   run_for(rig.io, kDisconnectProcessingTime);
-  EXPECT_TRUE(s1.requests.empty());
+  EXPECT_TRUE(first_endpoint.requests.empty());
   counter.silent = false;
   counter.last_peer->write("$1\r\n1\r\n");
-  expect_only_next_request_forwarded(s1);
+  expect_only_next_request_forwarded(first_endpoint);
 }
 
 void ClientDisconnectTest::disconnect_during_connect(const std::string& request) {
@@ -79,7 +79,7 @@
   full_acceptor.listen(0);
   tcp::socket backlog_filler(rig.io);
   backlog_filler.connect(full_acceptor.local_endpoint());
-  DiscoveredEndpoint endpoint = discovered_endpoint("s1", s1);
+  DiscoveredEndpoint endpoint = discovered_endpoint("s1", first_endpoint);
   endpoint.address = full_acceptor.local_endpoint();
   rig.add_endpoint(endpoint);
   rig.config.connect_timeout = 3'500'000;
@@ -127,11 +127,11 @@
     run_for(rig.io, 5);
   }
   run_for(rig.io, kDisconnectProcessingTime);
-  rig.discovery.send_update(update_json(42, true, endpoint_json("s1", s1.address_text())));
+  rig.discovery.send_update(update_json(42, true, endpoint_json("s1", first_endpoint.address_text())));
   ASSERT_TRUE(connected_client.receive());
   EXPECT_EQ(busy_endpoint.requests.size(), 2u);
-  ASSERT_EQ(s1.requests.size(), 1u);
-  EXPECT_EQ(s1.requests[0]["X-Trace-Id"], "stays");
+  ASSERT_EQ(first_endpoint.requests.size(), 1u);
+  EXPECT_EQ(first_endpoint.requests[0]["X-Trace-Id"], "stays");
 }
 
 TEST_P(ClientDisconnectTest, DropsUploadWaitingForEndpoint) {
@@ -143,10 +143,10 @@
     run_for(rig.io, 20);
   }
   run_for(rig.io, kDisconnectProcessingTime);
-  rig.discovery.send_update(update_json(42, false, endpoint_json("s1", s1.address_text())));
+  rig.discovery.send_update(update_json(42, false, endpoint_json("s1", first_endpoint.address_text())));
   run_for(rig.io, 20);
-  ASSERT_TRUE(s1.peers.empty());
-  expect_only_next_request_forwarded(s1);
+  ASSERT_TRUE(first_endpoint.peers.empty());
+  expect_only_next_request_forwarded(first_endpoint);
 }
 
 TEST_P(ClientDisconnectTest, DropsUploadWhenConnectionIsEstablishedLate) {
@@ -155,13 +155,13 @@
 
 TEST_P(ClientDisconnectTest, DropsRequestWhenClientDisconnectsRightAfterIt) {
   // Guards against forwarding a request although the end of its connection can be read together with it.
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   {
     Client client = rig.client();
     client.send(get_request("disconnected"));
   }
-  expect_only_next_request_forwarded(s1);
+  expect_only_next_request_forwarded(first_endpoint);
 }
 
 TEST_P(ClientDisconnectTest, DropsRequestWhenDataBeyondReadAheadLimitFollows) {
@@ -173,15 +173,17 @@
     run_for(rig.io, 20);
   }
   run_for(rig.io, kDisconnectProcessingTime);
-  rig.discovery.send_update(update_json(42, false, endpoint_json("s1", s1.address_text())));
+  rig.discovery.send_update(update_json(42, false, endpoint_json("s1", first_endpoint.address_text())));
   run_for(rig.io, 20);
-  expect_only_next_request_forwarded(s1);
+  expect_only_next_request_forwarded(first_endpoint);
 }
 
 TEST_P(ClientDisconnectTest, RespondsToConnectedClientThatExceedsReadAheadLimit) {
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   std::shared_ptr<Peer> pending_peer;
-  s1.on_request = [&](Peer& connection, const HttpRequest&) { pending_peer = connection.shared_from_this(); };
+  first_endpoint.on_request = [&](Peer& connection, const HttpRequest&) {
+    pending_peer = connection.shared_from_this();
+  };
   rig.start();
   Client client = rig.client();
   client.send(get_request("stays") + std::string(200'000, 'x'));
@@ -203,7 +205,7 @@
   rig.config.settings.counter_timeout = 1'000'000;
   rig.config.settings.plans[0].max_concurrent_attempts = 1;
   rig.config.counter_address = counter.address();
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   {
     Client client = rig.client();
--- a/tests/client/shutdown_test.cpp
+++ b/tests/client/shutdown_test.cpp
@@ -219,10 +219,12 @@
 
 TEST(ShutdownTest, DrainWaitsUntilClientHasReceivedResponse) {
   GatewayRig rig;
-  FakeEndpoint s1(rig.io);
+  FakeEndpoint first_endpoint(rig.io);
   std::shared_ptr<Peer> pending_peer;
-  s1.on_request = [&](Peer& connection, const HttpRequest&) { pending_peer = connection.shared_from_this(); };
-  rig.add_endpoint(discovered_endpoint("s1", s1));
+  first_endpoint.on_request = [&](Peer& connection, const HttpRequest&) {
+    pending_peer = connection.shared_from_this();
+  };
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   Coordinator& coordinator = rig.start();
   std::optional<Client> client(rig.client());
   client->send(post_request("a"));
@@ -299,19 +301,19 @@
 
 TEST(ShutdownTest, DoesNotRetryKeyedRequestWhenLateConnectionWouldExceedDedupWindow) {
   GatewayRig rig;
-  FakeEndpoint s1(rig.io);
-  FakeEndpoint s2(rig.io);
+  FakeEndpoint first_endpoint(rig.io);
+  FakeEndpoint second_endpoint(rig.io);
   asio::steady_timer reset_timer(rig.io);
   int received_requests = 0;
-  s1.on_request = s2.on_request = [&](Peer& connection, const HttpRequest&) {
+  first_endpoint.on_request = second_endpoint.on_request = [&](Peer& connection, const HttpRequest&) {
     if (++received_requests > 1) return connection.write(reply("200 OK", "", "x"));
     reset_timer.expires_after(std::chrono::milliseconds(450));
     reset_timer.async_wait([peer = connection.shared_from_this()](error_code) { peer->reset(); });
   };
   rig.config.settings.connect_timeout = 250'000;
   rig.config.settings.classes[1].dedup_window = 600'000;
-  rig.add_endpoint(discovered_endpoint("s1", s1));
-  rig.add_endpoint(discovered_endpoint("s2", s2));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
+  rig.add_endpoint(discovered_endpoint("s2", second_endpoint));
   rig.start();
   Client client = rig.client();
   client.send(post_request("a"));
--- a/tests/runtime/coordinator_test.cpp
+++ b/tests/runtime/coordinator_test.cpp
@@ -17,14 +17,14 @@
     return response ? int(response->result_int()) : 0;
   }
   GatewayRig rig;
-  FakeEndpoint endpoint1{rig.io};
-  FakeEndpoint endpoint2{rig.io};
-  FakeEndpoint endpoint3{rig.io};
-  FakeEndpoint endpoint4{rig.io};
+  FakeEndpoint first_endpoint{rig.io};
+  FakeEndpoint second_endpoint{rig.io};
+  FakeEndpoint third_endpoint{rig.io};
+  FakeEndpoint fourth_endpoint{rig.io};
 };
 
 TEST_F(CoordinatorTest, ForwardsRequestsUnchangedAndReusesConnection) {
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   Client client = rig.client();
   for (int i = 0; i < 3; ++i) {
@@ -35,9 +35,9 @@
     EXPECT_EQ(response->body(), "/intro-request/00000000b4d65521?x=1");
     run_for(rig.io, 25);  // a connection is reused only once no second response is expected on it
   }
-  EXPECT_EQ(endpoint1.requests[2]["X-Trace-Id"], "t2");
-  EXPECT_EQ(endpoint1.requests[2].body(), "hello");
-  EXPECT_EQ(endpoint1.peers.size(), 1u);
+  EXPECT_EQ(first_endpoint.requests[2]["X-Trace-Id"], "t2");
+  EXPECT_EQ(first_endpoint.requests[2].body(), "hello");
+  EXPECT_EQ(first_endpoint.peers.size(), 1u);
 }
 
 TEST_F(CoordinatorTest, RespondsToHealthChecks) {
@@ -79,7 +79,7 @@
 }
 
 TEST_F(CoordinatorTest, ClosesConnectionsWithoutCompleteRequestButKeepsIdleClients) {
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   Client established = rig.client();
   Client silent = rig.client();
@@ -94,7 +94,7 @@
 }
 
 TEST_F(CoordinatorTest, ReadsFragmentedAndPipelinedRequests) {
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   Client client = rig.client();
   for (const char byte : post_request("a")) client.send(std::string(1, byte));
@@ -105,17 +105,17 @@
 }
 
 TEST_F(CoordinatorTest, RespondsBeforeClientTimeoutWhenEndpointHangs) {
-  endpoint1.on_request = [](Peer&, const HttpRequest&) {};
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  first_endpoint.on_request = [](Peer&, const HttpRequest&) {};
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   Client client = rig.client();
   client.send(post_request("a", "400m"));
   EXPECT_EQ(receive_status(client), 504);  // not a rejection, as the request may have been executed
-  ASSERT_TRUE(rig.run_until([&] { return endpoint1.peers.at(0)->closed; }));
+  ASSERT_TRUE(rig.run_until([&] { return first_endpoint.peers.at(0)->closed; }));
   // Idempotent, so it is rejected although it may have been executed. Its deadline is the latency objective.
   client.send(get_request("b", "X-Second-Try: 1\r\n"));
   EXPECT_EQ(receive_status(client), 503);
-  EXPECT_EQ(endpoint1.requests.size(), 2u);
+  EXPECT_EQ(first_endpoint.requests.size(), 2u);
 }
 
 TEST_F(CoordinatorTest, RetriesByIdempotencyKeyWithinTheSameCell) {
@@ -128,14 +128,14 @@
       peer.write(reply("200 OK", "", "x"));
     };
   };
-  endpoint1.on_request = serve("one");
-  endpoint2.on_request = serve("one");
-  endpoint3.on_request = serve("two");
-  endpoint4.on_request = serve("two");
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1, 1));
-  rig.add_endpoint(discovered_endpoint("s2", endpoint2, 1));
-  rig.add_endpoint(discovered_endpoint("s3", endpoint3, 2));
-  rig.add_endpoint(discovered_endpoint("s4", endpoint4, 2));
+  first_endpoint.on_request = serve("one");
+  second_endpoint.on_request = serve("one");
+  third_endpoint.on_request = serve("two");
+  fourth_endpoint.on_request = serve("two");
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint, 1));
+  rig.add_endpoint(discovered_endpoint("s2", second_endpoint, 1));
+  rig.add_endpoint(discovered_endpoint("s3", third_endpoint, 2));
+  rig.add_endpoint(discovered_endpoint("s4", fourth_endpoint, 2));
   rig.start();
   Client client = rig.client();
   for (int i = 0; i < 4; ++i) {
@@ -148,12 +148,12 @@
 
 TEST_F(CoordinatorTest, FailsRequestWithIdempotencyKeyWhenItsCellHasNoOtherEndpoint) {
   int attempts = 0;
-  endpoint1.on_request = endpoint2.on_request = [&](Peer& peer, const HttpRequest&) {
+  first_endpoint.on_request = second_endpoint.on_request = [&](Peer& peer, const HttpRequest&) {
     ++attempts;
     peer.reset();
   };
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1, 1));
-  rig.add_endpoint(discovered_endpoint("s2", endpoint2, 2));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint, 1));
+  rig.add_endpoint(discovered_endpoint("s2", second_endpoint, 2));
   rig.start();
   Client client = rig.client();
   client.send(post_request("a"));
@@ -167,10 +167,10 @@
     if (++attempts == 1) return peer.write(reply("503 Full", "X-Never-Ran: 1\r\n"));
     peer.write(reply("200 OK", "", "x"));
   };
-  endpoint1.on_request = busy;
-  endpoint2.on_request = busy;
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1, 1));
-  rig.add_endpoint(discovered_endpoint("s2", endpoint2, 2));
+  first_endpoint.on_request = busy;
+  second_endpoint.on_request = busy;
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint, 1));
+  rig.add_endpoint(discovered_endpoint("s2", second_endpoint, 2));
   rig.start();
   Client client = rig.client();
   client.send(post_request("a"));
@@ -179,16 +179,16 @@
 }
 
 TEST_F(CoordinatorTest, CancelsAttemptWhenClientDisconnects) {
-  endpoint1.on_request = [](Peer&, const HttpRequest&) {};
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  first_endpoint.on_request = [](Peer&, const HttpRequest&) {};
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   {
     Client client = rig.client();
     client.send(get_request("a"));
-    ASSERT_TRUE(rig.run_until([&] { return endpoint1.requests.size() == 1; }));
+    ASSERT_TRUE(rig.run_until([&] { return first_endpoint.requests.size() == 1; }));
   }
-  EXPECT_TRUE(rig.run_until([&] { return endpoint1.peers.at(0)->closed; }));
-  endpoint1.on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK", "", "x")); };
+  EXPECT_TRUE(rig.run_until([&] { return first_endpoint.peers.at(0)->closed; }));
+  first_endpoint.on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK", "", "x")); };
   Client other = rig.client();
   other.send(get_request("b"));
   EXPECT_EQ(receive_status(other), 200);
@@ -199,7 +199,7 @@
   rig.config.settings.allow_retry_after = false;
   rig.config.settings.plans[0].rate = 1;
   rig.config.settings.plans[0].burst = 3;
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   Client client = rig.client();
   int requests_until_rejection = 0;
@@ -219,8 +219,8 @@
   rig.config.settings.endpoints_bill_units = true;
   rig.config.settings.plans[0].rate = 1e-6;
   rig.config.settings.plans[0].burst = 30;  // over three gateways; the slice of this one is 10
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
-  endpoint1.on_request = [](Peer& peer, const HttpRequest& request) {
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
+  first_endpoint.on_request = [](Peer& peer, const HttpRequest& request) {
     peer.write(
         reply("200 OK", request["X-Trace-Id"] == "odd" ? "Billed-Units: many\r\n" : "Billed-Units: 4.5\r\n"));
   };
@@ -237,7 +237,7 @@
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 30'000;
   rig.config.counter_address = counter.address();
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   Client client = rig.client();
   client.send(get_request("a"));
@@ -252,39 +252,39 @@
 }
 
 TEST_F(CoordinatorTest, AppliesDiscoveryUpdates) {
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   ASSERT_TRUE(rig.run_until([&] { return rig.discovery.requested_targets.size() == 1; }));
   rig.discovery.send_update(update_json(42, false,
-                                        endpoint_json("s1", endpoint1.address_text(), "draining") + "," +
-                                            endpoint_json("s2", endpoint2.address_text())));
+                                        endpoint_json("s1", first_endpoint.address_text(), "draining") + "," +
+                                            endpoint_json("s2", second_endpoint.address_text())));
   Client client = rig.client();
   // Sends requests until the update is applied; from then on the draining endpoint gets none.
-  for (int i = 0; endpoint2.requests.empty() && i < 1000; ++i) {
+  for (int i = 0; second_endpoint.requests.empty() && i < 1000; ++i) {
     client.send(get_request("t" + std::to_string(i)));
     EXPECT_EQ(receive_status(client), 200);
   }
-  const auto requests_before = endpoint1.requests.size();
+  const auto requests_before = first_endpoint.requests.size();
   for (int i = 0; i < 10; ++i) {
     client.send(get_request("u" + std::to_string(i)));
     EXPECT_EQ(receive_status(client), 200);
   }
-  EXPECT_EQ(endpoint1.requests.size(), requests_before);
+  EXPECT_EQ(first_endpoint.requests.size(), requests_before);
 }
 
 TEST_F(CoordinatorTest, DrainCompletesPendingRequestsAndAcceptsNewOnes) {
   std::shared_ptr<Peer> pending;
-  endpoint1.on_request = [&](Peer& peer, const HttpRequest&) {
+  first_endpoint.on_request = [&](Peer& peer, const HttpRequest&) {
     if (!pending) {
       pending = peer.shared_from_this();
     } else {
       peer.write(reply("200 OK", "", "x"));
     }
   };
-  endpoint2.on_request = endpoint1.on_request;
+  second_endpoint.on_request = first_endpoint.on_request;
   rig.config.settings.gateway_count = 1;
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
-  rig.add_endpoint(discovered_endpoint("s2", endpoint2));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
+  rig.add_endpoint(discovered_endpoint("s2", second_endpoint));
   Coordinator& coordinator = rig.start();
   Client idle = rig.client();
   Client busy = rig.client();
@@ -308,12 +308,12 @@
 }
 
 TEST_F(CoordinatorTest, DrainWaitsForFirstRequestOfConnectedClient) {
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   Coordinator& coordinator = rig.start();
   Client slow = rig.client();
   bool drained = false;
   bool accept_period_elapsed = false;
-  ASSERT_TRUE(rig.run_until([&] { return endpoint1.peers.empty(); }));
+  ASSERT_TRUE(rig.run_until([&] { return first_endpoint.peers.empty(); }));
   coordinator.drain([&] { drained = true; });
   asio::steady_timer timer(rig.io, std::chrono::milliseconds(1200));  // new clients are accepted for 1 s
   timer.async_wait([&](error_code) { accept_period_elapsed = true; });
@@ -327,15 +327,15 @@
 TEST_F(CoordinatorTest, DrainRespondsBeforeEarliestKillWhenEndpointHangs) {
   // SIGKILL may follow SIGTERM after the longest client timeout (3 s at most) plus 0.7 s, and the process may
   // be descheduled for 0.15 s of that time.
-  endpoint1.on_request = [](Peer&, const HttpRequest&) {};
+  first_endpoint.on_request = [](Peer&, const HttpRequest&) {};
   rig.config.settings.allow_cancel = false;
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   Coordinator& coordinator = rig.start();
   Client before_drain = rig.client();
   Client during_drain = rig.client();
   Client late = rig.client();
   before_drain.send(post_request("before"));
-  ASSERT_TRUE(rig.run_until([&] { return endpoint1.requests.size() == 1; }));
+  ASSERT_TRUE(rig.run_until([&] { return first_endpoint.requests.size() == 1; }));
   const auto drain_started_at = std::chrono::steady_clock::now();
   coordinator.drain([] {});
   during_drain.send(post_request("after"));
@@ -348,7 +348,7 @@
 }
 
 TEST_F(CoordinatorTest, DrainClosesIdleConnections) {
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   Coordinator& coordinator = rig.start();
   Client client = rig.client();
   client.send(get_request("a"));
@@ -359,7 +359,7 @@
 
 TEST_F(CoordinatorTest, EvictsIdleClientsToAcceptNewOnes) {
   rig.config.max_sockets = 64;  // 32 clients
-  rig.add_endpoint(discovered_endpoint("s1", endpoint1));
+  rig.add_endpoint(discovered_endpoint("s1", first_endpoint));
   rig.start();
   std::deque<Client> clients;
   for (int i = 0; i < 40; ++i) {
