--- a/src/runtime/coordinator.cpp
+++ b/src/runtime/coordinator.cpp
@@ -104,8 +104,8 @@
 
 ClientListener::Callbacks Coordinator::client_callbacks() {
   return {.on_request =
-              [this](std::uint64_t client, ClientRequest request) {
-                return forwarder_.on_request(client, std::move(request));
+              [this](std::uint64_t client_id, ClientRequest request) {
+                return forwarder_.on_request(client_id, std::move(request));
               },
           .on_body_complete =
               [this](RequestId id, TimePoint last_byte_pending_since) {
--- a/src/runtime/request_forwarder.cpp
+++ b/src/runtime/request_forwarder.cpp
@@ -39,9 +39,9 @@
       allow_hedging_(settings.allow_hedging) {}
 
 // ---- Clients --------------------------------------------------------------------------------------------
-RequestId RequestForwarder::on_request(std::uint64_t client, ClientRequest client_request) {
+RequestId RequestForwarder::on_request(std::uint64_t client_id, ClientRequest client_request) {
   RequestRecord& request = requests_.create();
-  request.client = client;
+  request.client_id = client_id;
   request.timeout = client_request.timeout;
   request.outgoing = std::move(client_request.outgoing);
   request.request_class = client_request.arrived.request_class;
@@ -169,12 +169,12 @@
                                       .duration = timers_.now() - attempt.sent_at,
                                       .billed_units = head.billed_units,
                                       .load = head.load});
-  client_listener_.start_response(request->client, length);
+  client_listener_.start_response(request->client_id, length);
 }
 
 void RequestForwarder::on_response_chunk(AttemptKey key, const std::string& bytes) {
   const RequestRecord* request = requests_.find(key.request_id);
-  if (request != nullptr && request->is_streamed()) client_listener_.write_chunk(request->client, bytes);
+  if (request != nullptr && request->is_streamed()) client_listener_.write_chunk(request->client_id, bytes);
 }
 
 void RequestForwarder::on_attempt_ended(AttemptKey key, AttemptResult result) {
@@ -214,9 +214,9 @@
   }
   count_response(request, is_complete ? kStatusOk : kStatusBadGateway);
   if (is_complete) {
-    client_listener_.finish_response(request.client);
+    client_listener_.finish_response(request.client_id);
   } else {
-    client_listener_.abort_response(request.client);
+    client_listener_.abort_response(request.client_id);
   }
 }
 
@@ -296,7 +296,7 @@
   if (request.is_answered()) return;
   request.response = ResponseState::kClosed;
   count_response(request, response.status);
-  client_listener_.respond(request.client, response);
+  client_listener_.respond(request.client_id, response);
 }
 
 void RequestForwarder::count_response(const RequestRecord& request, int status) {
--- a/src/runtime/request_forwarder.hpp
+++ b/src/runtime/request_forwarder.hpp
@@ -37,7 +37,7 @@
 
   // Events of clients. `last_byte_pending_since` is the latest time at which the last byte of the body was
   // certainly not sent yet; the client's timeout is counted from then.
-  RequestId on_request(std::uint64_t client, ClientRequest request);
+  RequestId on_request(std::uint64_t client_id, ClientRequest request);
   void on_body_complete(RequestId id, TimePoint last_byte_pending_since);
   void on_body_lagging(RequestId id, TimePoint last_byte_pending_since);
   void on_client_disconnected(RequestId id);
--- a/src/runtime/request_table.hpp
+++ b/src/runtime/request_table.hpp
@@ -28,7 +28,7 @@
 
 struct RequestRecord {
   RequestId id = 0;
-  std::uint64_t client = 0;  // ID of the client's connection
+  std::uint64_t client_id = 0;  // ID of the client's connection
   std::string request_class;
   Duration timeout = 0;    // how long the client waits for the final response
   TimePoint deadline = 0;  // for the final response
