--- a/src/decision/attempt_results.cpp
+++ b/src/decision/attempt_results.cpp
@@ -5,7 +5,7 @@
 namespace quota_gateway::decision {
 namespace {
 
-AttemptReport make_report(const Request& request, const Attempt& attempt, const AttemptResult& result,
+AttemptReport make_report(const Request& request, const Attempt& attempt, const AttemptOutcome& result,
                           double mean_latency) {
   // Uses the reported duration rather than the clock: the two differ if the gateway was paused.
   const auto duration = double(result.duration);
@@ -24,7 +24,7 @@
                                LatencyModel& latencies, RateLimitedLog& log)
     : context_(context), slices_(slices), endpoints_(endpoints), latencies_(latencies), log_(log) {}
 
-void AttemptResults::record(const Request& request, const Attempt& attempt, const AttemptResult& result) {
+void AttemptResults::record(const Request& request, const Attempt& attempt, const AttemptOutcome& result) {
   if (result.outcome == Outcome::kOk) latencies_.record_latency(*request.request_class, result.duration);
   const double mean_latency = latencies_.mean_latency(*request.request_class);
   const AttemptReport report = make_report(request, attempt, result, mean_latency);
--- a/src/decision/attempt_results.hpp
+++ b/src/decision/attempt_results.hpp
@@ -12,7 +12,7 @@
 
 namespace quota_gateway::decision {
 
-struct AttemptResult {
+struct AttemptOutcome {
   Outcome outcome = Outcome::kOk;
   Duration duration = 0;
   double billed_units = 0;  // 0: not reported
@@ -25,7 +25,7 @@
   AttemptResults(DecisionContext& context, QuotaSlices& slices, EndpointPool& endpoints,
                  LatencyModel& latencies, RateLimitedLog& log);
 
-  void record(const Request& request, const Attempt& attempt, const AttemptResult& result);
+  void record(const Request& request, const Attempt& attempt, const AttemptOutcome& result);
 
  private:
   DecisionContext& context_;
