--- a/tests/client/client_disconnect_test.cpp
+++ b/tests/client/client_disconnect_test.cpp
@@ -19,13 +19,13 @@
       request_class.latency_objective =
           3'000'000;  // requests wait in the admission queue for at most a quarter of it
   }
-  // Sends another request and expects that it is the only one forwarded to `server`.
-  void expect_only_next_request_forwarded(FakeEndpoint& server) {
+  // Sends another request and expects that it is the only one forwarded to `endpoint`.
+  void expect_only_next_request_forwarded(FakeEndpoint& endpoint) {
     Client next = rig.client();
     next.send(get_request("next"));
     ASSERT_TRUE(next.receive());
-    ASSERT_EQ(server.requests.size(), 1u);
-    EXPECT_EQ(server.requests[0]["X-Trace-Id"], "next");
+    ASSERT_EQ(endpoint.requests.size(), 1u);
+    EXPECT_EQ(endpoint.requests[0]["X-Trace-Id"], "next");
   }
   static std::string upload_head(const std::string& id) {
     return "POST /intro-request/00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " + id +
@@ -226,7 +226,7 @@
 
 TEST(ClientDisconnectDuringHotRestartTest, DropsRequestReceivedWhileWaitingForPredecessor) {
   asio::io_context io;
-  FakeEndpoint server(io);
+  FakeEndpoint endpoint(io);
   FakeDiscovery discovery(io);
   char shared_directory[] = "/tmp/quota-gateway-test-XXXXXX";
   ASSERT_NE(::mkdtemp(shared_directory), nullptr);
@@ -240,14 +240,14 @@
     Client client(io, inherited_listener.local_endpoint());
     client.send(get_request("disconnected"));
   }
-  Process process(configuration_json(inherited_listener.local_endpoint().port(), server, discovery),
+  Process process(configuration_json(inherited_listener.local_endpoint().port(), endpoint, discovery),
                   inherited_listener.native_handle(), shared_directory);
   ASSERT_NE(process.log_until("does not answer").find("does not answer"), std::string::npos);
   Client next(io, inherited_listener.local_endpoint());
   next.send(get_request("next"));
   ASSERT_TRUE(next.receive());
-  ASSERT_EQ(server.requests.size(), 1u);
-  EXPECT_EQ(server.requests[0]["X-Trace-Id"], "next");
+  ASSERT_EQ(endpoint.requests.size(), 1u);
+  EXPECT_EQ(endpoint.requests[0]["X-Trace-Id"], "next");
   process.terminate();
   EXPECT_EQ(process.exit_code(), 0);
   ::close(lock_fd);
--- a/tests/client/shutdown_test.cpp
+++ b/tests/client/shutdown_test.cpp
@@ -170,20 +170,20 @@
 
 TEST(ShutdownTest, FinishesPendingRequestsWhenTerminatedRightAfterReload) {
   asio::io_context io;
-  FakeEndpoint server(io);
+  FakeEndpoint endpoint(io);
   FakeDiscovery before(io);
   FakeDiscovery after(io);
   std::shared_ptr<Peer> pending_peer;
-  server.on_request = [&](Peer& connection, const HttpRequest&) {
+  endpoint.on_request = [&](Peer& connection, const HttpRequest&) {
     pending_peer = connection.shared_from_this();
   };
   const auto port = free_port(io);
-  Process process(configuration_json(port, server, before));
+  Process process(configuration_json(port, endpoint, before));
   ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
   Client client(io, {asio::ip::address_v4::loopback(), port});
   client.send(get_request("a"));
   ASSERT_TRUE(run_until(io, [&] { return pending_peer != nullptr; }));
-  process.reconfigure(configuration_json(port, server, after));
+  process.reconfigure(configuration_json(port, endpoint, after));
   process.terminate();
   ASSERT_NE(process.log_until("draining").find("draining"), std::string::npos);
   pending_peer->write(reply("200 OK", "", "late"));
@@ -197,16 +197,16 @@
 TEST(ShutdownTest, KilledProcessResetsTruncatedResponseToHttp10Client) {
   // An HTTP/1.0 client takes an orderly close as the end of a response without a length.
   asio::io_context io;
-  FakeEndpoint server(io);
+  FakeEndpoint endpoint(io);
   FakeDiscovery discovery(io);
-  server.on_request = [](Peer& connection, const HttpRequest&) {
+  endpoint.on_request = [](Peer& connection, const HttpRequest&) {
     const auto response_bytes =
         std::make_shared<std::string>("HTTP/1.1 200 OK\r\n\r\n" + std::string(100'000, 'x'));
     asio::async_write(connection.socket, asio::buffer(*response_bytes),
                       [response_bytes, self = connection.shared_from_this()](error_code, std::size_t) {});
   };
   const auto port = free_port(io);
-  Process process(configuration_json(port, server, discovery));
+  Process process(configuration_json(port, endpoint, discovery));
   ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
   Client client(io, {asio::ip::address_v4::loopback(), port});
   std::string request = get_request("a");
@@ -276,12 +276,12 @@
   // Guards against the signal killing the process while clients are in its backlog. The process is blocked
   // while it reads its configuration when the signal arrives.
   asio::io_context io;
-  FakeEndpoint server(io);
+  FakeEndpoint endpoint(io);
   FakeDiscovery discovery(io);
   char directory[] = "/tmp/quota-gateway-test-XXXXXX";
   ASSERT_NE(::mkdtemp(directory), nullptr);
   const std::string fifo_path = std::string(directory) + "/config",
-                    text = configuration_json(free_port(io), server, discovery);
+                    text = configuration_json(free_port(io), endpoint, discovery);
   ASSERT_EQ(::mkfifo(fifo_path.c_str(), 0600), 0);
   const int fifo_fd = ::open(fifo_path.c_str(), O_RDWR | O_CLOEXEC);
   Process process(Process::ConfigurationPath{fifo_path});
--- a/tests/restart/stored_files_test.cpp
+++ b/tests/restart/stored_files_test.cpp
@@ -69,19 +69,19 @@
     char name[] = "/tmp/quota-gateway-test-XXXXXX";
     EXPECT_NE(::mkdtemp(name), nullptr);
     directory = name;
-    servers[0].on_request = [this](Peer& peer, const HttpRequest& request) {
+    endpoints[0].on_request = [this](Peer& peer, const HttpRequest& request) {
       if (request["X-Trace-Id"] == "pending") return;
       peer.write(reply("200 OK", "", "x"));
     };
     for (int i = 1; i < 3; ++i)
-      servers[i].on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK", "", "x")); };
+      endpoints[i].on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK", "", "x")); };
   }
   ~StoredFiles() override { fs::remove_all(directory); }
 
   std::string endpoints_json() const {
     std::string list;
     for (int i = 0; i < 3; ++i)
-      list += (i > 0 ? "," : "") + endpoint_json("s" + std::to_string(i + 1), servers[i].address_text());
+      list += (i > 0 ? "," : "") + endpoint_json("s" + std::to_string(i + 1), endpoints[i].address_text());
     return list;
   }
   std::string configuration(std::uint16_t admin_port) const {
@@ -132,16 +132,16 @@
     const auto wall_time = std::chrono::system_clock::now().time_since_epoch();
     const auto now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(wall_time).count();
     discovery.send_update(
-        update_json(42, false, endpoint_json("s2", servers[1].address_text(), "up", now_ms)));
+        update_json(42, false, endpoint_json("s2", endpoints[1].address_text(), "up", now_ms)));
     call_admin(admin_port, "POST /-/booking-servers/s3/disable");
     for (int i = 0; i < 6; ++i) send_request(kExhaustedCustomer, "narrow");
     for (int i = 0; i < 60; ++i) send_request(kActiveCustomer, "wide");
     Client pending_client(io, listener.local_endpoint());
-    const std::size_t previous_request_count = servers[0].requests.size() + servers[1].requests.size();
-    servers[1].on_request = [](Peer&, const HttpRequest&) {};
+    const std::size_t previous_request_count = endpoints[0].requests.size() + endpoints[1].requests.size();
+    endpoints[1].on_request = [](Peer&, const HttpRequest&) {};
     pending_client.send(request("pending", kBusyCustomer, "single"));
     ASSERT_TRUE(run_until(io, [&] {
-      return servers[0].requests.size() + servers[1].requests.size() > previous_request_count;
+      return endpoints[0].requests.size() + endpoints[1].requests.size() > previous_request_count;
     }));
     json recorded_owner = json::parse(read_text(directory / "owner.json"));
     const LivenessLockFile successor_lock(directory, "successor");
@@ -155,8 +155,8 @@
     gateway.kill();
     fs::remove_all(directory);
     fs::create_directory(directory);
-    for (FakeEndpoint& server : servers) server.requests.clear();
-    servers[1].on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK", "", "x")); };
+    for (FakeEndpoint& endpoint : endpoints) endpoint.requests.clear();
+    endpoints[1].on_request = [](Peer& peer, const HttpRequest&) { peer.write(reply("200 OK", "", "x")); };
   }
   // Returns the content of a fixture, addressed to the process identified by `token`.
   static json addressed_to(const std::string& token, const std::string& file) {
@@ -166,7 +166,7 @@
   }
 
   asio::io_context io;
-  FakeEndpoint servers[3]{FakeEndpoint(io), FakeEndpoint(io), FakeEndpoint(io)};
+  FakeEndpoint endpoints[3]{FakeEndpoint(io), FakeEndpoint(io), FakeEndpoint(io)};
   FakeDiscovery discovery{io};
   tcp::acceptor listener{io, {asio::ip::address_v4::loopback(), 0}};
   fs::path directory;
@@ -206,9 +206,9 @@
   EXPECT_TRUE(run_until(io, [&] { return send_request(kBusyCustomer, "single") == 200; }));
 
   for (int i = 0; i < 40; ++i) EXPECT_EQ(send_request(kActiveCustomer, "wide"), 200);
-  EXPECT_GE(servers[0].requests.size(), 36u);
-  EXPECT_LE(servers[1].requests.size(), 6u);  // in slow start; the predecessor already used its share
-  EXPECT_EQ(servers[2].requests.size(), 0u);  // disabled
+  EXPECT_GE(endpoints[0].requests.size(), 36u);
+  EXPECT_LE(endpoints[1].requests.size(), 6u);  // in slow start; the predecessor already used its share
+  EXPECT_EQ(endpoints[2].requests.size(), 0u);  // disabled
 }
 
 }  // namespace
